--- a/wigeonrouter/bench/_capacity_parts.py
+++ b/wigeonrouter/bench/_capacity_parts.py
@@ -157,7 +157,7 @@
         seeds=(),
         replica=configuration.Replica(),
         rng=random.Random(own),
-        claims=None,
+        claim_handler=None,
     )
     gossip.Exchange(_full_message(members), None)
     return gossip
--- a/wigeonrouter/bench/_control.py
+++ b/wigeonrouter/bench/_control.py
@@ -199,7 +199,7 @@
         return table.digest
 
     emit(f"{name}.change", 1e3 * _cpu_time(absorb), "ms")
-    emit(f"{name}.sends_per_update", table.max_sends, "1")
+    emit(f"{name}.sends_per_update", table.retransmit_limit, "1")
 
 
 def _refuted(member):
--- a/wigeonrouter/bench/_nodes.py
+++ b/wigeonrouter/bench/_nodes.py
@@ -76,7 +76,7 @@
             seeds=seeds,
             replica=replica,
             rng=rng,
-            claims=lambda request: None,
+            claim_handler=lambda request: None,
         )
         dropped = set()
         node = Node(
--- a/wigeonrouter/daemon/_daemon.py
+++ b/wigeonrouter/daemon/_daemon.py
@@ -80,7 +80,7 @@
             seeds=settings.seeds,
             replica=self._replica,
             rng=self._rng,
-            claims=self._answer_claim,
+            claim_handler=self._answer_claim,
             tls=self._tls,
         )
         self._replication = membership.Replication(
--- a/wigeonrouter/membership/_exchanges.py
+++ b/wigeonrouter/membership/_exchanges.py
@@ -105,7 +105,7 @@
                 members += (known,)
         else:
             members = self._table.take_updates(receiver=receiver)
-        facts = self._facts.take_updates(sends=self._table.max_sends)
+        facts = self._facts.take_updates(sends=self._table.retransmit_limit)
         return peer_pb2.GossipMessage(
             sender=_codec.member_to_message(self._table.own),
             revision=self._replica.revision,
--- a/wigeonrouter/membership/_gossip.py
+++ b/wigeonrouter/membership/_gossip.py
@@ -41,7 +41,7 @@
         seeds,
         replica,
         rng,
-        claims,
+        claim_handler,
         tls=None,
         clock=time.monotonic,
         wall_clock=time.time,
@@ -71,7 +71,7 @@
         self._seeds = tuple(seeds)
         self._replica = replica
         self._rng = rng
-        self._claims = claims
+        self._claim_handler = claim_handler
         self._clock = clock
         # A replaced daemon has lost the ids that it claimed.
         self._claimant = f"{own.daemon_id}~{own.instance}"
@@ -285,7 +285,7 @@
         yield from self._spread.serve(request.after_revision)
 
     def Claim(self, request, context):
-        return self._claims(request)
+        return self._claim_handler(request)
 
     def _run(self):
         while True:
--- a/wigeonrouter/membership/_table.py
+++ b/wigeonrouter/membership/_table.py
@@ -221,7 +221,7 @@
         )
 
     @property
-    def max_sends(self):
+    def retransmit_limit(self):
         """Number of messages in which one update rides."""
         size = len(self._members) - len(self._died)
         return math.ceil(4 * math.log2(max(size, 2)))
@@ -234,7 +234,7 @@
             it has to refute is always included.
           limit: bound on the number of other members.
         """
-        names = self._updates.take(limit=limit, sends=self.max_sends)
+        names = self._updates.take(limit=limit, sends=self.retransmit_limit)
         members = [self._members[name] for name in names]
         known = self._members.get(receiver)
         if (
