--- a/wigeonrouter/membership/__init__.py
+++ b/wigeonrouter/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Membership: members, facts about backend servers, peer transport."""
+"""Cluster membership, facts about backend servers, and peer transport."""
 
 from wigeonrouter.membership import _facts
 from wigeonrouter.membership import _gossip
--- a/wigeonrouter/membership/_client.py
+++ b/wigeonrouter/membership/_client.py
@@ -1,4 +1,4 @@
-"""Calls to peers, with timeouts, sender id and counts."""
+"""Calls to peers, with timeouts, the sender's id and counters."""
 
 import collections
 
@@ -10,7 +10,7 @@
 
 
 class PeerClient:
-    """Owns the peer channels of one daemon and counts their traffic."""
+    """Client of the peer service; owns the channels of one daemon."""
 
     def __init__(self, *, daemon_id, tls=None):
         self._channels = _transport.PeerChannels(tls=tls)
@@ -19,18 +19,23 @@
 
     @property
     def counts(self):
-        """Counter of calls, failures and message bytes in each direction."""
+        """Counter of calls, failed calls and message bytes per direction."""
         return self._counts
 
     def count(self, name, number=1):
-        """Add to a count."""
+        """Add a number to the counter of a name."""
         self._counts[name] += number
 
     def call(self, method, address, request, *, timeout=CALL_TIMEOUT_S):
         """Make a unary call.
 
+        Args:
+          method: name of the method of the peer service.
+          address: core.Address of the peer.
+          request: protobuf message.
+          timeout: seconds.
         Returns:
-          The reply, or None where there was none in time.
+          The reply, or None after a failure or the timeout.
         """
         self._counts["calls"] += 1
         self._counts["bytes_out"] += request.ByteSize()
@@ -40,14 +45,17 @@
                 request, timeout=timeout, metadata=self._metadata
             )
         except (grpc.RpcError, ValueError):
-            # grpc raises ValueError on a channel that was closed meanwhile.
+            # grpc raises ValueError on a channel that another task has closed.
             self._counts["failed_calls"] += 1
             return None
         self._counts["bytes_in"] += reply.ByteSize()
         return reply
 
     def stream(self, method, address, request, *, timeout):
-        """Make a call that returns a stream; it ends early on failure."""
+        """Make a server-streaming call and yield its replies.
+
+        A failure or the timeout, in seconds, ends the stream early.
+        """
         self._counts["calls"] += 1
         stub = self._channels.stub(address)
         try:
@@ -60,7 +68,7 @@
             self._counts["failed_calls"] += 1
 
     def renew_channels(self):
-        """Connect anew for further calls."""
+        """Open new channels for further calls."""
         self._channels.renew()
 
     def keep_only(self, addresses):
--- a/wigeonrouter/membership/_codec.py
+++ b/wigeonrouter/membership/_codec.py
@@ -1,7 +1,7 @@
-"""Translates and checks what peers send.
+"""Encoding, decoding and validation of peer messages.
 
-A message is decoded as a whole before any of it is used, so that a malformed
-one changes nothing.
+A message is decoded completely before any part of it is applied, so that a
+malformed message changes nothing.
 """
 
 import dataclasses
@@ -14,19 +14,22 @@
 from wigeonrouter.schema import peer_pb2
 
 MAX_MEMBERS = 10_000
-MAX_INTEGER = 2**63
-_NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
-_HOST = re.compile(r"(\d{1,3}\.){3}\d{1,3}")
-_TO_MESSAGE = {
+# Integers from peers are below this, so that they fit a signed 64-bit field.
+INT64_BOUND = 2**63
+_NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
+_IPV4_PATTERN = re.compile(r"(\d{1,3}\.){3}\d{1,3}")
+_STATE_TO_PROTO = {
     core.MemberState.ALIVE: peer_pb2.ALIVE,
     core.MemberState.SUSPECT: peer_pb2.SUSPECT,
     core.MemberState.LEAVING: peer_pb2.LEAVING,
     core.MemberState.DEAD: peer_pb2.DEAD,
     core.MemberState.STARTING: peer_pb2.STARTING,
 }
-_FROM_MESSAGE = {number: state for state, number in _TO_MESSAGE.items()}
-# What a daemon may say of itself.
-_OWN_STATES = (
+_STATE_FROM_PROTO = {
+    number: state for state, number in _STATE_TO_PROTO.items()
+}
+# States that a daemon may state about itself.
+_SENDER_STATES = (
     core.MemberState.STARTING,
     core.MemberState.ALIVE,
     core.MemberState.LEAVING,
@@ -35,7 +38,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class MalformedMessage:
-    """A message from a peer that cannot be used."""
+    """Why a message from a peer was rejected.
+
+    Attributes:
+      field: path of the invalid field.
+      problem: what is wrong with it.
+    """
 
     field: str
     problem: str
@@ -46,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Gossip:
-    """A decoded peer_pb2.GossipMessage."""
+    """A decoded and validated peer_pb2.GossipMessage."""
 
     sender: core.Member
     revision: int
@@ -59,16 +67,16 @@
     ready: bool
 
 
-class _Malformed(Exception):
+class _MalformedError(Exception):
     pass
 
 
 def member_to_message(member):
-    """Return a peer_pb2.MemberRecord."""
+    """Return the peer_pb2.MemberRecord of a core.Member."""
     return peer_pb2.MemberRecord(
         daemon_id=member.daemon_id,
         incarnation=member.incarnation,
-        state=_TO_MESSAGE[member.state],
+        state=_STATE_TO_PROTO[member.state],
         region=member.place.region,
         failure_domain=member.place.failure_domain,
         caller_address=str(member.caller_address),
@@ -79,7 +87,7 @@
 
 
 def fact_to_message(fact):
-    """Return a peer_pb2.ServerFact."""
+    """Return the peer_pb2.ServerFact of a ServerFact."""
     return peer_pb2.ServerFact(
         address=fact.address,
         state=fact.state,
@@ -92,8 +100,8 @@
     """Decode a peer_pb2.GossipMessage.
 
     Args:
-      message: the message.
-      now_ms: milliseconds since the epoch; bounds the versions of facts.
+      message: the received message.
+      now_ms: milliseconds since the epoch; limits the versions of facts.
     Returns:
       Success(Gossip) or Failure(MalformedMessage).
     """
@@ -105,27 +113,27 @@
             len(message.facts) <= _facts.MAX_FACTS, "facts", "too many facts"
         )
         _require(
-            len(message.facts_parts) in (0, _facts.PARTS),
+            len(message.facts_parts) in (0, _facts.DIGEST_BUCKETS),
             "facts_parts",
-            f"{len(message.facts_parts)} digests",
+            f"unexpected number of digests: {len(message.facts_parts)}",
         )
-        _require(message.revision < MAX_INTEGER, "revision", "too large")
-        sender = _member(message.sender, "sender")
+        _require(message.revision < INT64_BOUND, "revision", "too large")
+        sender = _decode_member(message.sender, "sender")
         _require(
-            sender.state in _OWN_STATES,
+            sender.state in _SENDER_STATES,
             "sender.state",
-            f"{sender.state.value} sender",
+            f"sender states that it is {sender.state.value}",
         )
         return result.Success(
             Gossip(
                 sender=sender,
                 revision=message.revision,
                 members=tuple(
-                    _member(record, f"members[{index}]")
+                    _decode_member(record, f"members[{index}]")
                     for index, record in enumerate(message.members)
                 ),
                 facts=tuple(
-                    _fact(record, f"facts[{index}]", now_ms)
+                    _decode_fact(record, f"facts[{index}]", now_ms)
                     for index, record in enumerate(message.facts)
                 ),
                 facts_digest=message.facts_digest,
@@ -135,7 +143,7 @@
                 ready=message.ready,
             )
         )
-    except _Malformed as error:
+    except _MalformedError as error:
         return result.Failure(error.args[0])
 
 
@@ -147,7 +155,7 @@
       Failure(MalformedMessage).
     """
     try:
-        sender = _member(message.sender, "sender")
+        sender = _decode_member(message.sender, "sender")
         entries = tuple(message.entries)
         _require(entries, "entries", "empty")
         for index, entry in enumerate(entries):
@@ -158,54 +166,71 @@
                 "not in sequence",
             )
         return result.Success((sender, entries))
-    except _Malformed as error:
+    except _MalformedError as error:
         return result.Failure(error.args[0])
 
 
 def decode_address(text, *, field):
-    """Return Success(core.Address) or Failure(MalformedMessage)."""
+    """Decode an address of the form ``1.2.3.4:80``.
+
+    Args:
+      text: the received text.
+      field: name of the field for the error.
+    Returns:
+      Success(core.Address) or Failure(MalformedMessage).
+    """
     try:
-        return result.Success(_address(text, field))
-    except _Malformed as error:
+        return result.Success(_parse_address(text, field))
+    except _MalformedError as error:
         return result.Failure(error.args[0])
 
 
-def _member(record, field):
-    _require(_NAME.fullmatch(record.daemon_id), f"{field}.daemon_id", "bad")
+def _decode_member(record, field):
+    _require(
+        _NAME_PATTERN.fullmatch(record.daemon_id), f"{field}.daemon_id", "bad"
+    )
     for name in ("region", "failure_domain"):
         _require(
-            _NAME.fullmatch(getattr(record, name)), f"{field}.{name}", "bad"
+            _NAME_PATTERN.fullmatch(getattr(record, name)),
+            f"{field}.{name}",
+            "bad",
         )
     for name in ("incarnation", "instance"):
         _require(
-            getattr(record, name) < MAX_INTEGER, f"{field}.{name}", "too large"
+            getattr(record, name) < INT64_BOUND, f"{field}.{name}", "too large"
         )
-    _require(record.state in _FROM_MESSAGE, f"{field}.state", "unknown")
+    _require(record.state in _STATE_FROM_PROTO, f"{field}.state", "unknown")
     return core.Member(
         daemon_id=record.daemon_id,
         incarnation=record.incarnation,
         instance=record.instance,
-        state=_FROM_MESSAGE[record.state],
+        state=_STATE_FROM_PROTO[record.state],
         place=core.Place(
             region=record.region, failure_domain=record.failure_domain
         ),
-        caller_address=_address(
+        caller_address=_parse_address(
             record.caller_address, f"{field}.caller_address"
         ),
-        admin_address=_address(record.admin_address, f"{field}.admin_address"),
-        peer_address=_address(record.peer_address, f"{field}.peer_address"),
+        admin_address=_parse_address(
+            record.admin_address, f"{field}.admin_address"
+        ),
+        peer_address=_parse_address(
+            record.peer_address, f"{field}.peer_address"
+        ),
     )
 
 
-def _fact(record, field, now_ms):
+def _decode_fact(record, field, now_ms):
     for name in ("state", "source"):
         _require(
-            _NAME.fullmatch(getattr(record, name)), f"{field}.{name}", "bad"
+            _NAME_PATTERN.fullmatch(getattr(record, name)),
+            f"{field}.{name}",
+            "bad",
         )
-    latest = now_ms + _facts.MAX_AHEAD_S * 1000
+    latest = now_ms + _facts.MAX_VERSION_AHEAD_S * 1000
     _require(0 < record.version <= latest, f"{field}.version", "out of bounds")
     return _facts.ServerFact(
-        address=str(_address(record.address, f"{field}.address")),
+        address=str(_parse_address(record.address, f"{field}.address")),
         state=record.state,
         version=record.version,
         source=record.source,
@@ -214,31 +239,31 @@
 
 def _check_entry(entry, field):
     _require(
-        0 < entry.revision < MAX_INTEGER, f"{field}.revision", "out of bounds"
+        0 < entry.revision < INT64_BOUND, f"{field}.revision", "out of bounds"
     )
     _require(entry.change_id, f"{field}.change_id", "empty")
     for change in entry.changes:
         _require(
             change.path.startswith("/") and change.WhichOneof("action"),
             f"{field}.changes",
-            "no path or no action",
+            "path is not absolute or action is missing",
         )
 
 
-def _address(text, field):
+def _parse_address(text, field):
     host, _, port = text.rpartition(":")
     _require(
-        _HOST.fullmatch(host)
+        _IPV4_PATTERN.fullmatch(host)
         and all(int(part) < 256 for part in host.split("."))
         and port.isascii()
         and port.isdigit()
         and 0 < int(port) < 65536,
         field,
-        f"{text[:40]!r} is no address",
+        f"{text[:40]!r} is not an IP address with a port",
     )
     return core.Address(host=host, port=int(port))
 
 
-def _require(fits, field, problem):
-    if not fits:
-        raise _Malformed(MalformedMessage(field=field, problem=problem))
+def _require(condition, field, problem):
+    if not condition:
+        raise _MalformedError(MalformedMessage(field=field, problem=problem))
--- a/wigeonrouter/membership/_spread.py
+++ b/wigeonrouter/membership/_dissemination.py
@@ -1,4 +1,4 @@
-"""Spreads configuration revisions between daemons."""
+"""Dissemination of configuration log entries between daemons."""
 
 import time
 
@@ -14,16 +14,17 @@
 from wigeonrouter.schema import peer_pb2
 from wigeonrouter.schema import settings_pb2
 
+# Number of peers whose acknowledgement push_until_acknowledged awaits.
 ACKNOWLEDGEMENTS = 2
 ACKNOWLEDGEMENT_TIMEOUT_S = 2.0
 FETCH_TIMEOUT_S = 5.0
-# Entries applied at once while fetching; the services are built once for
-# each batch.
-FETCH_BATCH = 64
+# Entries that are applied together while fetching; the services are rebuilt
+# once per batch instead of once per entry.
+FETCH_BATCH_ENTRIES = 64
 
 
-class ConfigSpread:
-    """Pushes new entries to peers and fetches missing ones."""
+class ConfigDissemination:
+    """Pushes new entries to peers and fetches missing ones from them."""
 
     def __init__(self, *, table, schedule, client, replica):
         self._table = table
@@ -31,45 +32,54 @@
         self._client = client
         self._replica = replica
         self._pending = []
-        self._arrived = event.Event()
-        self._fetching = lock.Semaphore()
+        self._entries_available = event.Event()
+        self._fetch_lock = lock.Semaphore()
         self._task = None
 
     def start(self):
-        """Start pushing what arrives."""
+        """Start the task that pushes pending entries."""
         self._task = gevent.spawn(self._push_pending)
 
     def stop(self):
-        """Stop pushing."""
+        """Stop the push task."""
         if self._task is not None:
             gevent.kill(self._task)
 
-    def spread(self, entries, *, excluded=()):
+    def disseminate(self, entries, *, excluded=()):
         """Push new entries to some peers in the background.
 
-        Entries that arrive while a push is under way share the next one.
+        Entries that are added during a push are sent together in the next
+        one.
+
+        Args:
+          entries: sequence of settings_pb2.LogEntry.
+          excluded: ids of daemons that have the entries already.
         """
         if entries:
             self._pending.append((tuple(entries), frozenset(excluded)))
-            self._arrived.set()
+            self._entries_available.set()
 
-    def push_acknowledged(self, entries, *, clock=time.monotonic):
+    def push_until_acknowledged(self, entries, *, clock=time.monotonic):
         """Push entries until enough peers have acknowledged them.
 
+        Args:
+          entries: sequence of settings_pb2.LogEntry.
+          clock: function that returns monotonic seconds.
         Returns:
-          Tuple of the ids of the peers that acknowledged, after
-          ACKNOWLEDGEMENTS of them in other failure domains, or after all
-          that there are, or after ACKNOWLEDGEMENT_TIMEOUT_S.
+          Tuple of the ids of the peers that acknowledged. The call returns
+          once ACKNOWLEDGEMENTS peers did, preferably in other failure
+          domains, or once all candidates were tried, or after
+          ACKNOWLEDGEMENT_TIMEOUT_S.
         """
         candidates = acknowledgement_order(
             own=self._table.own, peers=self._table.peers
         )
         needed = min(ACKNOWLEDGEMENTS, len(candidates))
-        ends = clock() + ACKNOWLEDGEMENT_TIMEOUT_S
+        deadline = clock() + ACKNOWLEDGEMENT_TIMEOUT_S
         acknowledged = []
         done = event.Event()
 
-        def work():
+        def push_to_candidates():
             while candidates and len(acknowledged) < needed:
                 peer = candidates.pop(0)
                 if self._push(peer, entries):
@@ -77,36 +87,50 @@
             if len(acknowledged) >= needed:
                 done.set()
 
-        workers = [gevent.spawn(work) for _ in range(ACKNOWLEDGEMENTS + 1)]
+        workers = [
+            gevent.spawn(push_to_candidates)
+            for _ in range(ACKNOWLEDGEMENTS + 1)
+        ]
         gevent.spawn(lambda: (gevent.joinall(workers), done.set()))
-        done.wait(max(0.0, ends - clock()))
-        self.spread(entries, excluded=acknowledged)
+        done.wait(max(0.0, deadline - clock()))
+        self.disseminate(entries, excluded=acknowledged)
         return tuple(acknowledged)
 
-    def receive(self, sender, entries):
-        """Take over pushed entries; what lies between is fetched first.
+    def receive_push(self, sender, entries):
+        """Apply pushed entries, after fetching any that precede them.
 
+        Args:
+          sender: core.Member that pushed the entries.
+          entries: sequence of settings_pb2.LogEntry, not empty.
         Returns:
-          The revision of the replica afterwards.
+          The replica's revision afterwards.
         """
         if entries[0].revision > self._replica.revision + 1:
             self.fetch(sender.peer_address, revision=entries[-1].revision)
         applied = self._apply(entries)
-        self.spread(applied, excluded=(sender.daemon_id,))
+        self.disseminate(applied, excluded=(sender.daemon_id,))
         return self._replica.revision
 
     def fetch(self, address, *, revision):
-        """Fetch what is missing up to a revision from a peer.
+        """Fetch missing entries from a peer.
+
+        Fetches run one at a time; after waiting for another one the replica
+        may be up to date already.
 
-        One fetch runs at a time; one that waited may find nothing to do.
+        Args:
+          address: core.Address of the peer.
+          revision: revision that the peer is known to have.
         """
-        with self._fetching:
+        with self._fetch_lock:
             if self._replica.revision >= revision:
                 return
             self._fetch(address)
 
-    def serve(self, after_revision):
-        """Yield the FetchChunk messages that answer a peer's fetch."""
+    def serve_fetch(self, after_revision):
+        """Yield the FetchChunk messages that respond to a peer's fetch.
+
+        They hold a snapshot where the entries are no longer retained.
+        """
         entries = self._replica.entries_after(after_revision)
         if entries is None:
             snapshot = self._replica.snapshot().SerializeToString()
@@ -128,7 +152,7 @@
                     )
                     continue
                 entries.append(chunk.entry)
-                if len(entries) >= FETCH_BATCH:
+                if len(entries) >= FETCH_BATCH_ENTRIES:
                     self._apply(entries)
                     entries = []
         except protobuf_message.DecodeError:
@@ -145,15 +169,17 @@
 
     def _push_pending(self):
         while True:
-            self._arrived.wait()
-            self._arrived.clear()
+            self._entries_available.wait()
+            self._entries_available.clear()
             pending, self._pending = self._pending, []
             entries = {
                 entry.revision: entry
                 for batch, _ in pending
                 for entry in batch
             }
-            excluded = frozenset.intersection(*(names for _, names in pending))
+            excluded = frozenset.intersection(
+                *(daemon_ids for _, daemon_ids in pending)
+            )
             gevent.joinall(
                 [
                     gevent.spawn(
@@ -179,31 +205,31 @@
 
 
 def acknowledgement_order(*, own, peers):
-    """Order the peers that may acknowledge a change.
+    """Return the peers in the order in which a change is pushed to them.
 
     Args:
       own: core.Member of this daemon.
       peers: an iterable of core.Member.
     Returns:
-      A list: one peer of each other failure domain first, then the others
-      there. Where fewer than ACKNOWLEDGEMENTS peers are in other failure
-      domains, those in the own one follow.
+      A list of core.Member: first one peer of each other failure domain,
+      then the remaining peers of those domains. Where these are fewer than
+      ACKNOWLEDGEMENTS, the peers of the own failure domain follow.
     """
-    others = [peer for peer in peers if peer.place != own.place]
-    others.sort(
+    in_other_domains = [peer for peer in peers if peer.place != own.place]
+    in_other_domains.sort(
         key=lambda peer: (
             peer.state is not core.MemberState.ALIVE,
             peer.place.region != own.place.region,
         )
     )
-    first, second, seen = [], [], set()
-    for peer in others:
-        if peer.place in seen:
-            second.append(peer)
+    first_of_domain, same_domain, seen_places = [], [], set()
+    for peer in in_other_domains:
+        if peer.place in seen_places:
+            same_domain.append(peer)
         else:
-            seen.add(peer.place)
-            first.append(peer)
-    order = first + second
-    if len(order) < ACKNOWLEDGEMENTS:
-        order += [peer for peer in peers if peer.place == own.place]
-    return order
+            seen_places.add(peer.place)
+            first_of_domain.append(peer)
+    ordered = first_of_domain + same_domain
+    if len(ordered) < ACKNOWLEDGEMENTS:
+        ordered += [peer for peer in peers if peer.place == own.place]
+    return ordered
--- a/wigeonrouter/membership/_exchanges.py
+++ b/wigeonrouter/membership/_exchanges.py
@@ -8,7 +8,7 @@
 
 
 class Exchanges:
-    """Makes and takes over the messages of one daemon."""
+    """Builds the gossip messages of one daemon and applies received ones."""
 
     def __init__(
         self,
@@ -16,36 +16,36 @@
         table,
         facts,
         client,
-        spread,
+        dissemination,
         replica,
         rng,
         clock,
         wall_clock,
-        on_news,
+        on_change,
     ):
         self._table = table
         self._facts = facts
         self._client = client
-        self._spread = spread
+        self._dissemination = dissemination
         self._replica = replica
         self._rng = rng
         self._clock = clock
         self._wall_clock = wall_clock
-        self._on_news = on_news
+        self._on_change = on_change
         self._fact_listeners = []
         self._joined = self._ready = False
 
     @property
     def joined(self):
-        """Whether a peer's whole member table was received."""
+        """Whether a peer's full member table was received."""
         return self._joined
 
     def set_ready(self):
-        """Let new daemons rely on the revision that this one names."""
+        """Mark this daemon as ready, so that joiners rely on its revision."""
         self._ready = True
 
     def subscribe_facts(self, listener):
-        """Call listener(facts) after changes, with the tuple of all facts."""
+        """Call listener(facts) with the tuple of all facts after changes."""
         self._fact_listeners.append(listener)
 
     def now_ms(self):
@@ -53,7 +53,15 @@
         return int(self._wall_clock() * 1000)
 
     def exchange_all(self, peers, *, full=False, timeout=None):
-        """Exchange with peers at once; return the number that answered."""
+        """Exchange with several peers concurrently.
+
+        Args:
+          peers: an iterable of core.Member.
+          full: whether to send full member tables.
+          timeout: seconds, or None to wait for every call.
+        Returns:
+          The number of peers that responded.
+        """
         tasks = [gevent.spawn(self.exchange, p, full=full) for p in peers]
         gevent.joinall(tasks, timeout=timeout)
         return sum(task.value is not None for task in tasks)
@@ -61,8 +69,8 @@
     def exchange(self, peer, *, full=False):
         """Exchange with a member; see exchange_address.
 
-        An answer by another daemon, which got the address meanwhile, does
-        not count as the member's.
+        A reply from another daemon, which was assigned the address in the
+        meantime, counts as no reply.
         """
         reply = self.exchange_address(
             peer.peer_address, receiver=peer.daemon_id, full=full
@@ -72,17 +80,30 @@
         return reply
 
     def exchange_address(
-        self, address, *, receiver=None, full=False, parts=False, facts=()
+        self,
+        address,
+        *,
+        receiver=None,
+        full=False,
+        send_buckets=False,
+        facts=(),
     ):
-        """Exchange with an address.
-
+        """Exchange with an address and apply the reply.
+
+        Args:
+          address: core.Address of the peer.
+          receiver: id of the peer, if known.
+          full: whether to send the full member table.
+          send_buckets: whether to send the bucket digests of the facts.
+          facts: sequence of peer_pb2.ServerFact to send besides the pending
+            ones.
         Returns:
-          The decoded reply, or None where there was none that can be used.
+          The decoded reply, or None without a reply or for a malformed one.
         """
-        request = self.message(receiver=receiver, full=full)
+        request = self.build_message(receiver=receiver, full=full)
         request.facts.extend(facts)
-        if parts:
-            request.facts_parts.extend(self._facts.parts)
+        if send_buckets:
+            request.facts_parts.extend(self._facts.bucket_digests)
         reply = self._client.call("Exchange", address, request)
         if reply is None:
             return None
@@ -91,13 +112,18 @@
             self._client.count("malformed")
             return None
         gossip = decoded.unwrap()
-        self.absorb(gossip)
+        self.apply_gossip(gossip)
         if gossip.revision > self._replica.revision:
-            self._spread.fetch(address, revision=gossip.revision)
+            self._dissemination.fetch(address, revision=gossip.revision)
         return gossip
 
-    def message(self, *, receiver, full):
-        """Return the peer_pb2.GossipMessage for a daemon."""
+    def build_message(self, *, receiver, full):
+        """Return the peer_pb2.GossipMessage to send to a daemon.
+
+        Args:
+          receiver: id of the receiving daemon, or None.
+          full: whether to send the full member table, not only updates.
+        """
         if full:
             members = (self._table.own, *self._table.peers)
             known = self._table.find(receiver)
@@ -105,7 +131,9 @@
                 members += (known,)
         else:
             members = self._table.take_updates(receiver=receiver)
-        facts = self._facts.take_updates(sends=self._table.retransmit_limit)
+        facts = self._facts.take_updates(
+            max_sends=self._table.retransmit_limit
+        )
         return peer_pb2.GossipMessage(
             sender=_codec.member_to_message(self._table.own),
             revision=self._replica.revision,
@@ -117,11 +145,11 @@
             ready=self._ready,
         )
 
-    def absorb(self, gossip):
-        """Take over what a decoded message says."""
+    def apply_gossip(self, gossip):
+        """Apply a decoded message to the member table and the facts."""
         now = self._clock()
-        own = self._table.own
-        leaving = self._table.leaving_ids
+        own_before = self._table.own
+        leaving_before = self._table.leaving_ids
         self._joined = self._joined or gossip.full
         self._table.merge(gossip.sender, now=now, direct=True)
         for member in gossip.members:
@@ -129,28 +157,46 @@
         changed = self._facts.merge(gossip.facts, now_ms=self.now_ms())
         if changed:
             self.notify_facts(changed)
-        if self._table.own is not own or self._table.leaving_ids - leaving:
-            self._on_news()
+        if (
+            self._table.own is not own_before
+            or self._table.leaving_ids - leaving_before
+        ):
+            self._on_change()
 
     def notify_facts(self, changed):
-        """Tell the listeners; news about facts lets gossip hurry."""
+        """Notify the listeners; changed facts trigger an eager exchange."""
         for listener in self._fact_listeners:
             listener(self._facts.facts)
         if changed:
-            self._on_news()
+            self._on_change()
 
     def repair_facts(self, address, *, rounds):
-        """Exchange the facts in the parts of the table that differ."""
-        owed = []
+        """Exchange the facts in the buckets that differ (anti-entropy).
+
+        Args:
+          address: core.Address of the peer.
+          rounds: bound on the number of exchanges.
+        """
+        to_send = []
         for _ in range(rounds):
-            reply = self.exchange_address(address, parts=True, facts=owed)
+            reply = self.exchange_address(
+                address, send_buckets=True, facts=to_send
+            )
             if reply is None or not reply.facts_parts:
                 return
-            owed = self.differing(reply.facts_parts)
+            to_send = self.differing_facts(reply.facts_parts)
 
-    def differing(self, parts):
-        """Return messages of the facts in the parts that differ."""
+    def differing_facts(self, bucket_digests):
+        """Return facts of the buckets whose digests differ.
+
+        Args:
+          bucket_digests: sequence of a peer's bucket digests.
+        Returns:
+          A list of peer_pb2.ServerFact.
+        """
         return [
             _codec.fact_to_message(fact)
-            for fact in self._facts.differing(parts, rng=self._rng)
+            for fact in self._facts.facts_in_differing_buckets(
+                bucket_digests, rng=self._rng
+            )
         ]
--- a/wigeonrouter/membership/_facts.py
+++ b/wigeonrouter/membership/_facts.py
@@ -1,10 +1,11 @@
-"""Facts about backend servers that daemons tell each other.
-
-A fact is known by the server's address and its source; of two statements of
-one source the higher version wins, so that a health rule cannot undo an
-operator's drain. Versions are milliseconds since the epoch. A fact is
-forgotten FACT_KEPT_S after its version, and the oldest go first where the
-table is full; a state that must last longer belongs into the settings.
+"""Facts about backend servers, replicated between daemons by gossip.
+
+A fact is keyed by the server's address and its source. Of two facts with the
+same key the higher version wins; because the source is part of the key, a
+health rule cannot override an operator's drain. Versions are milliseconds
+since the epoch. A fact expires FACT_RETENTION_S after its version, and a full
+table evicts the oldest facts first; a state that has to last longer belongs
+in the settings.
 """
 
 import dataclasses
@@ -13,15 +14,18 @@
 
 from wigeonrouter.membership import _updates
 
-FACT_KEPT_S = 24 * 3600.0
+FACT_RETENTION_S = 24 * 3600.0
 MAX_FACTS = 50_000
-# A version that is further ahead of the clock than this is malformed; it
-# would outlive and override all later facts.
-MAX_AHEAD_S = 24 * 3600.0
-PARTS = 256
-MAX_SENT_FACTS = 128
-# Facts sent in one message in order to repair a difference: about 10 KB.
-MAX_REPAIR_FACTS = 200
+# A version further ahead of the local clock is rejected as malformed: it would
+# override every later fact with its key and expire late.
+MAX_VERSION_AHEAD_S = 24 * 3600.0
+# Number of hash buckets of the table. Peers compare one digest per bucket, so
+# that anti-entropy transfers only the buckets that differ.
+DIGEST_BUCKETS = 256
+# Bound on the pending updates piggybacked on one message.
+MAX_FACTS_PER_MESSAGE = 128
+# Bound on the anti-entropy repair facts in one message: about 10 KB.
+MAX_FACTS_PER_REPAIR = 200
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -29,10 +33,10 @@
     """A statement about a backend server.
 
     Attributes:
-      address: IP number and port of the server, as text.
-      state: for instance ``draining`` or ``active``.
+      address: IP address and port of the server, as text.
+      state: state of the server, for instance ``draining`` or ``active``.
       version: milliseconds since the epoch; the highest wins.
-      source: who says so, for instance ``operator``.
+      source: origin of the statement, for instance ``operator``.
     """
 
     address: str
@@ -42,18 +46,18 @@
 
     @property
     def key(self):
-        """What the fact is known by."""
+        """Key of the fact: a pair (address, source)."""
         return self.address, self.source
 
 
 class FactTable:
-    """Owns the facts that one daemon knows."""
+    """Table of the facts known to one daemon, with its digests."""
 
     def __init__(self):
         self._facts = {}
-        self._parts = [0] * PARTS
+        self._bucket_digests = [0] * DIGEST_BUCKETS
         self._digest = 0
-        self._updates = _updates.Updates()
+        self._updates = _updates.TransmitLimitedQueue()
 
     def __len__(self):
         return len(self._facts)
@@ -65,22 +69,27 @@
 
     @property
     def digest(self):
-        """Digest of all facts, a 64-bit integer."""
+        """Digest of the whole table, a 64-bit integer."""
         return self._digest
 
     @property
-    def parts(self):
-        """Tuple of the digests of the PARTS parts of the table."""
-        return tuple(self._parts)
+    def bucket_digests(self):
+        """Tuple of DIGEST_BUCKETS digests, 64-bit integers."""
+        return tuple(self._bucket_digests)
 
     @property
-    def settled(self):
-        """Whether no update waits to be sent."""
+    def all_updates_sent(self):
+        """Whether no update is pending."""
         return not self._updates
 
     def assert_fact(self, *, address, state, source, now_ms):
-        """State a fact with a version above the known one.
+        """Set a fact, with a version above that of the known one.
 
+        Args:
+          address: IP address and port of the server, as text.
+          state: the new state.
+          source: origin of the statement.
+          now_ms: milliseconds since the epoch.
         Returns:
           The ServerFact.
         """
@@ -93,13 +102,13 @@
         return fact
 
     def merge(self, facts, *, now_ms):
-        """Take over the facts that are newer than the known ones.
+        """Apply the facts that are newer than the known ones.
 
         Returns:
-          The list of those facts.
+          The list of the applied facts.
         """
         changed = []
-        oldest = now_ms - int(FACT_KEPT_S * 1000)
+        oldest = now_ms - int(FACT_RETENTION_S * 1000)
         for fact in facts:
             known = self._facts.get(fact.key)
             if fact.version <= oldest:
@@ -110,71 +119,84 @@
         return changed
 
     def expire(self, *, now_ms):
-        """Forget old facts.
+        """Remove expired facts, and the oldest beyond MAX_FACTS.
 
         Returns:
-          The list of forgotten facts.
+          The list of the removed facts.
         """
-        oldest = now_ms - int(FACT_KEPT_S * 1000)
-        old = [fact for fact in self.facts if fact.version <= oldest]
-        excess = len(self._facts) - len(old) - MAX_FACTS
+        oldest = now_ms - int(FACT_RETENTION_S * 1000)
+        expired = [fact for fact in self.facts if fact.version <= oldest]
+        excess = len(self._facts) - len(expired) - MAX_FACTS
         if excess > 0:
-            kept = [fact for fact in self.facts if fact.version > oldest]
-            kept.sort(key=_rank)
-            old += kept[:excess]
-        for fact in old:
-            self._toggle(self._facts.pop(fact.key))
+            remaining = [fact for fact in self.facts if fact.version > oldest]
+            remaining.sort(key=_rank)
+            expired += remaining[:excess]
+        for fact in expired:
+            self._xor_into_digests(self._facts.pop(fact.key))
             self._updates.discard(fact.key)
-        return old
+        return expired
 
-    def take_updates(self, *, sends):
-        """Return the facts to be sent with one message."""
+    def take_updates(self, *, max_sends):
+        """Return the list of pending facts to piggyback on one message."""
         return [
             self._facts[key]
-            for key in self._updates.take(limit=MAX_SENT_FACTS, sends=sends)
+            for key in self._updates.take(
+                limit=MAX_FACTS_PER_MESSAGE, max_sends=max_sends
+            )
         ]
 
-    def differing(self, parts, *, rng):
-        """Return facts of the parts whose digests differ.
+    def facts_in_differing_buckets(self, bucket_digests, *, rng):
+        """Return facts of the buckets whose digests differ.
 
         Args:
-          parts: sequence of PARTS digests of another table.
-          rng: random.Random; chooses among too many facts, so that
-            repeated calls in the end cover all.
+          bucket_digests: sequence of DIGEST_BUCKETS digests of another table.
+          rng: random.Random; samples where there are too many facts, so that
+            repeated calls eventually cover all of them.
         Returns:
-          A list of at most MAX_REPAIR_FACTS ServerFact.
+          A list of at most MAX_FACTS_PER_REPAIR ServerFact.
         """
-        different = {
+        differing_buckets = {
             index
-            for index, digest in enumerate(parts)
-            if digest != self._parts[index]
+            for index, digest in enumerate(bucket_digests)
+            if digest != self._bucket_digests[index]
         }
-        facts = [fact for fact in self.facts if _part(fact.key) in different]
-        if len(facts) > MAX_REPAIR_FACTS:
-            facts = rng.sample(facts, MAX_REPAIR_FACTS)
+        facts = [
+            fact
+            for fact in self.facts
+            if _bucket(fact.key) in differing_buckets
+        ]
+        if len(facts) > MAX_FACTS_PER_REPAIR:
+            facts = rng.sample(facts, MAX_FACTS_PER_REPAIR)
         return facts
 
     def _put(self, fact):
         known = self._facts.get(fact.key)
         if known is not None:
-            self._toggle(known)
+            self._xor_into_digests(known)
         self._facts[fact.key] = fact
-        self._toggle(fact)
+        self._xor_into_digests(fact)
         self._updates.add(fact.key)
 
-    def _toggle(self, fact):
-        """Add a fact to the digests, or take it out again."""
+    def _xor_into_digests(self, fact):
+        """XOR a fact's hash into the digests.
+
+        This adds the fact; a second call removes it again.
+        """
         digest = xxhash.xxh3_64_intdigest(
             f"{fact.address} {fact.source} {fact.version} "
             f"{fact.state}".encode()
         )
         self._digest ^= digest
-        self._parts[_part(fact.key)] ^= digest
+        self._bucket_digests[_bucket(fact.key)] ^= digest
 
 
-def _part(key):
+def _bucket(key):
+    """Return the index of a key's bucket."""
     address, source = key
-    return xxhash.xxh3_64_intdigest(f"{address} {source}".encode()) % PARTS
+    return (
+        xxhash.xxh3_64_intdigest(f"{address} {source}".encode())
+        % DIGEST_BUCKETS
+    )
 
 
 def _rank(fact):
--- a/wigeonrouter/membership/_gossip_test.py
+++ b/wigeonrouter/membership/_gossip_test.py
@@ -1,4 +1,7 @@
-"""Guards against lost news between daemons that really call each other."""
+"""Tests of gossip between daemons over gRPC.
+
+Guards against updates, facts and configuration revisions that get lost.
+"""
 
 import time
 
@@ -40,7 +43,9 @@
     return {m.daemon_id: m.state for m in node.gossip.table.members}
 
 
-def test_a_change_is_acknowledged_elsewhere_and_reaches_all(nodes):
+def test_a_change_is_acknowledged_in_other_domains_and_reaches_all_peers(
+    nodes,
+):
     fleet = nodes.start_fleet(_FLEET)
     entry, acknowledged = fleet[0].replication.accept(_proposal("a")).unwrap()
     assert len(acknowledged) >= 2
@@ -52,7 +57,7 @@
     )
 
 
-def test_a_change_reaches_all_though_the_store_fails_right_after_it(
+def test_a_change_reaches_all_peers_if_the_store_fails_after_the_write(
     nodes, store_standin
 ):
     fleet = nodes.start_fleet(_FLEET)
@@ -65,7 +70,7 @@
     assert late.replica.revision == 1
 
 
-def test_a_change_whose_pushes_are_lost_is_pulled(nodes, store_standin):
+def test_a_change_is_fetched_after_lost_pushes(nodes, store_standin):
     fleet = nodes.start_fleet(_FLEET)
     store_standin.inject(store_pb2.FaultCall(down=True))
     fleet[0].replica.apply_entries(
@@ -95,13 +100,13 @@
 
 
 def test_only_one_daemon_of_a_region_watches_the_store(nodes, store_standin):
-    """Each waiting watch is a counted call, and the store's rates are low."""
+    """The store meters each pending watch, and its rate limits are low."""
     fleet = nodes.start_fleet([("north", "a")] * 4)
     watching = [
         n for n in fleet if n.gossip.table.owns_in_region("config-watcher")
     ]
     assert len(watching) == 1
-    # An entry whose author died before its push arrives by the watch.
+    # The watch delivers an entry whose writer failed before it was pushed.
     entry = settings_pb2.LogEntry(
         revision=1, change_id="a", changes=_proposal("a").changes
     )
@@ -118,7 +123,7 @@
 ):
     fleet = nodes.start_fleet(_FLEET)
     north, south = fleet[:2], fleet[2:]
-    conftest.cut(north, south)
+    conftest.partition(north, south)
     dead = core.MemberState.DEAD
     _nodes.wait_for(
         lambda: all(
@@ -139,7 +144,7 @@
     _nodes.wait_for(lambda: all(n.gossip.facts for n in fleet))
 
 
-def test_a_leaving_daemon_is_known_to_all(nodes):
+def test_a_leaving_daemon_is_announced_to_all_peers(nodes):
     fleet = nodes.start_fleet(_FLEET)
     fleet[0].gossip.leave()
     for node in fleet[1:]:
@@ -147,26 +152,26 @@
 
 
 def test_a_pause_is_detected_by_a_clock_jump(nodes):
-    """Others rely on the notice, for instance to hold back probes."""
+    """Listeners rely on the notification, for instance to delay probes."""
     first, second = nodes.start_fleet([("north", "a")] * 2)
-    heard = []
-    first.gossip.subscribe_pause(heard.append)
+    received = []
+    first.gossip.subscribe_pause(received.append)
     first.gossip.table.suspect("node-1", now=time.monotonic())
     first.gossip._clock = lambda: time.monotonic() + 60.0
-    _nodes.wait_for(lambda: heard)
-    assert 50.0 < heard[0] < 70.0
+    _nodes.wait_for(lambda: received)
+    assert 50.0 < received[0] < 70.0
     assert first.gossip.counts["pauses"] == 1
     assert _states(first)["node-1"] is not core.MemberState.DEAD
     _nodes.wait_for(lambda: len(first.gossip.table.alive) == 2)
 
 
-def test_facts_spread_without_the_store_and_the_newest_wins(
+def test_facts_replicate_without_the_store_and_the_newest_wins(
     nodes, store_standin
 ):
     fleet = nodes.start_fleet(_FLEET)
     store_standin.inject(store_pb2.FaultCall(down=True))
-    heard = []
-    fleet[3].gossip.subscribe_facts(heard.append)
+    received = []
+    fleet[3].gossip.subscribe_facts(received.append)
     address = "127.0.0.1:9"
     fleet[0].gossip.assert_fact(
         address=address, state="draining", source="operator"
@@ -184,25 +189,25 @@
             for n in fleet
         )
     )
-    assert {(f.source, f.state) for f in heard[-1]} == wanted
+    assert {(f.source, f.state) for f in received[-1]} == wanted
 
 
 def test_a_joining_daemon_gets_all_facts(nodes):
-    """More facts than one message repairs, none of them news any more."""
+    """Covers more facts than one repair message holds, none pending."""
     first = nodes.start()
     for number in range(1, 1001):
         first.gossip.assert_fact(
             address=f"127.0.0.1:{number}", state="draining", source="operator"
         )
-    while not first.gossip._facts.settled:
-        first.gossip._facts.take_updates(sends=1)
+    while not first.gossip._facts.all_updates_sent:
+        first.gossip._facts.take_updates(max_sends=1)
     late = nodes.start(seeds=[first.gossip.table.own.peer_address])
     assert sorted(f.address for f in late.gossip.facts) == sorted(
         f.address for f in first.gossip.facts
     )
 
 
-def test_a_lost_fact_is_repaired_by_digest(nodes):
+def test_a_lost_fact_is_repaired_by_digest_comparison(nodes):
     first, second = nodes.start_fleet([("north", "a")] * 2)
     first.gossip._facts.assert_fact(
         address="127.0.0.1:9",
@@ -210,7 +215,7 @@
         source="operator",
         now_ms=first.gossip._exchanges.now_ms(),
     )
-    first.gossip._facts.take_updates(sends=1)
+    first.gossip._facts.take_updates(max_sends=1)
     _nodes.wait_for(lambda: second.gossip.facts)
 
 
--- a/wigeonrouter/membership/_replication.py
+++ b/wigeonrouter/membership/_replication.py
@@ -1,7 +1,7 @@
-"""Keeps a daemon's configuration up to date and accepts changes.
+"""Replication of the configuration between the store, peers and a replica.
 
-Peers deliver most revisions. One daemon in each region also watches the
-store, in case the accepting daemon died before its push.
+Peers push most revisions. One daemon of each region also watches the store,
+in case the accepting daemon failed before its push.
 """
 
 import time
@@ -15,23 +15,25 @@
 from wigeonrouter import store as store_api
 
 WATCH_TIMEOUT_S = 5.0
+# Task of a region; its owner watches the store.
 WATCHER_TASK = "config-watcher"
-WATCHER_CHECK_S = 1.0
-READY_RETRY_S = 0.2
-# Each read of the VM list is counted; members learn of each other by gossip,
-# so it is only needed to find lost ones.
+WATCHER_CHECK_INTERVAL_S = 1.0
+READINESS_RETRY_S = 0.2
+# Reads of the VM list are metered, and members discover each other by gossip;
+# the list is only needed to find members that gossip has lost.
 VM_LIST_INTERVAL_S = 30.0
 VM_LIST_JOIN_INTERVAL_S = 1.0
-# A change of the root's settings is checked for half a second at the target
-# size, in which a daemon has to serve others.
-CHECK_SLICE_S = 0.005
-CHECK_PAUSE_S = 0.001
+# At the target size, validating a change of the root's settings takes half a
+# second of processor time. It is cut into slices, so that the daemon serves
+# requests in between.
+VALIDATION_SLICE_S = 0.005
+VALIDATION_YIELD_S = 0.001
 ENTRY_ROLE = "entry"
 LEAVING_STATE = "leaving"
 
 
 class Replication:
-    """Owns the tasks between store, replica and gossip of one daemon."""
+    """Owns the tasks that replicate the configuration of one daemon."""
 
     def __init__(
         self,
@@ -54,33 +56,35 @@
         self._ready = False
         self._snapshot_task = None
         self._tasks = []
-        gossip.subscribe_pause(lambda _: gevent.spawn(self._refresh))
+        gossip.subscribe_pause(
+            lambda _: gevent.spawn(self._catch_up_after_pause)
+        )
 
     @property
     def ready(self):
-        """Whether the newest configuration that can be found is in force."""
+        """Whether the newest configuration that can be found was applied."""
         return self._ready
 
     def start(self):
-        """Start following the store and the VM list."""
+        """Start the tasks that follow the store and the VM list."""
         self._tasks = [
             gevent.spawn(self._become_ready),
             gevent.spawn(self._watch),
-            gevent.spawn(self._find_seeds),
+            gevent.spawn(self._refresh_seeds),
         ]
 
     def stop(self):
-        """Stop following."""
+        """Stop the tasks."""
         gevent.killall(self._tasks)
         if self._snapshot_task is not None:
             self._snapshot_task.kill()
 
     def accept(self, proposal):
-        """Accept a change and spread it.
+        """Accept a change and push it to peers.
 
         Returns:
-          Success of a pair (LogEntry, ids of the peers that acknowledged
-          it), or the Failure of configuration.accept.
+          Success of a pair (LogEntry, list of the ids of the peers that
+          acknowledged it), or the Failure of configuration.accept.
         """
         accepted = configuration.accept(
             store=self._store,
@@ -88,28 +92,35 @@
             proposal=proposal,
             now_ms=int(time.time() * 1000),
             policies=self._policies,
-            pause=_pauses(),
+            pause=_make_pause(),
         )
         if not pipeline.is_successful(accepted):
             return accepted
         entry = accepted.unwrap()
         if configuration.is_snapshot_due(self._replica):
             self._start_snapshot()
-        # A repeated change id may name an entry that is no longer retained.
+        # An entry found by a repeated change id has no changes where it is no
+        # longer retained.
         acknowledged = self._gossip.push((entry,)) if entry.changes else ()
         return result.Success((entry, list(acknowledged)))
 
     def _become_ready(self):
+        """Wait until the newest revision that can be found was applied.
+
+        While the store cannot be read, a ready peer has to be among those
+        that respond, and the replica has to reach the highest revision that
+        any of them has named.
+        """
         highest = 0
         while not self._ready:
             if self._catch_up():
                 ready = self._gossip.rounds > 0
             else:
-                named = self._gossip.ask_revisions().values()
-                highest = max([highest, *(number for number, _ in named)])
+                responses = self._gossip.query_revisions().values()
+                highest = max([highest, *(number for number, _ in responses)])
                 ready = (
                     self._gossip.joined
-                    and any(is_ready for _, is_ready in named)
+                    and any(is_ready for _, is_ready in responses)
                     and self._replica.revision >= highest
                 )
             if ready:
@@ -117,15 +128,15 @@
                 self._gossip.set_ready()
                 self._on_ready()
                 return
-            gevent.sleep(READY_RETRY_S)
+            gevent.sleep(READINESS_RETRY_S)
 
     def _watch(self):
         while True:
             if not self._gossip.table.owns_in_region(WATCHER_TASK):
-                gevent.sleep(WATCHER_CHECK_S)
+                gevent.sleep(WATCHER_CHECK_INTERVAL_S)
                 continue
             try:
-                item = self._read_new()
+                item = self._read_and_disseminate()
                 self._store.watch(
                     configuration.log_key(self._replica.revision + 1),
                     known_version=item.version if item else 0,
@@ -134,13 +145,17 @@
             except store_api.StoreError:
                 gevent.sleep(self._rng.uniform(0.5, 1.5))
 
-    def _read_new(self):
-        """Read new revisions from the store and spread them."""
+    def _read_and_disseminate(self):
+        """Read new revisions from the store and push them to peers.
+
+        Returns:
+          The Item in the slot of the next revision, or None.
+        """
         before = self._replica.revision
         item = configuration.catch_up(store=self._store, replica=self._replica)
         entries = self._replica.entries_after(before)
         if entries and self._ready:
-            self._gossip.spread(entries)
+            self._gossip.disseminate(entries)
         return item
 
     def _catch_up(self):
@@ -150,10 +165,10 @@
             return False
         return True
 
-    def _refresh(self):
-        """Fetch the newest revision after a pause."""
+    def _catch_up_after_pause(self):
+        """Fetch the newest revision after a pause of this process."""
         if not self._catch_up():
-            self._gossip.ask_revisions()
+            self._gossip.query_revisions()
 
     def _start_snapshot(self):
         if self._snapshot_task is None or self._snapshot_task.ready():
@@ -165,10 +180,10 @@
                 store=self._store, replica=self._replica
             )
         except store_api.StoreError:
-            # The next accepted change tries again.
+            # Retried after the next accepted change.
             pass
 
-    def _find_seeds(self):
+    def _refresh_seeds(self):
         version = 0
         while True:
             try:
@@ -191,15 +206,15 @@
             )
 
 
-def _pauses():
-    """Return a function that lets other tasks run in each CHECK_SLICE_S."""
-    ends = time.monotonic() + CHECK_SLICE_S
+def _make_pause():
+    """Return a function that yields to other tasks after each slice."""
+    deadline = time.monotonic() + VALIDATION_SLICE_S
 
     def pause():
-        nonlocal ends
-        if time.monotonic() >= ends:
-            gevent.sleep(CHECK_PAUSE_S)
-            ends = time.monotonic() + CHECK_SLICE_S
+        nonlocal deadline
+        if time.monotonic() >= deadline:
+            gevent.sleep(VALIDATION_YIELD_S)
+            deadline = time.monotonic() + VALIDATION_SLICE_S
 
     return pause
 
@@ -209,9 +224,9 @@
 
     Args:
       vms: an iterable of store.Vm.
-      port: peer port of VMs that are listed without one.
+      port: peer port of the VMs that are listed without a port.
     Returns:
-      A tuple of core.Address; VMs with unreadable addresses are left out.
+      A tuple of core.Address; leaving VMs and invalid addresses are skipped.
     """
     addresses = []
     for vm in vms:
--- a/wigeonrouter/membership/_replication_test.py
+++ b/wigeonrouter/membership/_replication_test.py
@@ -1,4 +1,7 @@
-"""Guards against daemons that are ready with an old configuration."""
+"""Tests of readiness, acknowledgements and seeds.
+
+Guards against daemons that become ready with an outdated configuration.
+"""
 
 import random
 import types
@@ -11,8 +14,8 @@
 from wigeonrouter import membership
 from wigeonrouter import store as store_api
 from wigeonrouter.bench import _nodes
+from wigeonrouter.membership import _dissemination
 from wigeonrouter.membership import _replication
-from wigeonrouter.membership import _spread
 from wigeonrouter.membership import _table_test
 from wigeonrouter.schema import settings_pb2
 
@@ -25,43 +28,45 @@
         raise store_api.StoreUnavailable("down")
 
 
-def _gossip(named, joined):
+def _gossip(stated_revisions, joined):
     own = _table_test.member(0)
     return types.SimpleNamespace(
         table=membership.MemberTable(own=own),
         rounds=1,
         joined=joined,
-        ask_revisions=lambda: named,
+        query_revisions=lambda: stated_revisions,
         set_ready=lambda: None,
         subscribe_pause=lambda listener: None,
     )
 
 
 @pytest.mark.parametrize(
-    ("named", "joined", "held", "ready"),
+    ("stated_revisions", "joined", "held_revision", "ready"),
     [
         ({}, True, 0, False),
         ({"d1": (0, True)}, True, 0, True),
         ({"d1": (0, False)}, True, 0, False),
         ({"d1": (2, True), "d2": (1, True)}, True, 1, False),
         ({"d1": (2, True), "d2": (1, True)}, True, 2, True),
-        # A peer that is not ready may know an acknowledged change.
+        # A peer that is not ready may hold an acknowledged change.
         ({"d1": (2, False), "d2": (1, True)}, True, 1, False),
         ({"d1": (1, True)}, False, 1, False),
     ],
 )
-def test_without_the_store_peers_decide_readiness(named, joined, held, ready):
+def test_peers_decide_readiness_without_the_store(
+    stated_revisions, joined, held_revision, ready
+):
     replica = configuration.Replica()
     replica.apply_entries(
         [
             settings_pb2.LogEntry(revision=n + 1, change_id=str(n))
-            for n in range(held)
+            for n in range(held_revision)
         ]
     )
     replication = membership.Replication(
         store=_DownStore(),
         replica=replica,
-        gossip=_gossip(named, joined),
+        gossip=_gossip(stated_revisions, joined),
         seeds=(),
         rng=random.Random(1),
     )
@@ -69,7 +74,7 @@
     if ready:
         _nodes.wait_for(lambda: replication.ready)
     else:
-        gevent.sleep(3 * _replication.READY_RETRY_S)
+        gevent.sleep(3 * _replication.READINESS_RETRY_S)
         assert not replication.ready
     task.kill()
 
@@ -77,10 +82,10 @@
 @pytest.mark.parametrize(
     ("domains", "order"),
     [
-        # One of each other failure domain first, the own region before.
+        # One peer of each other failure domain first, the own region first.
         (["r0-b", "r0-b", "r1-a", "r0-c"], ["r0-b", "r0-c", "r1-a", "r0-b"]),
         (["r0-a", "r0-b", "r1-a"], ["r0-b", "r1-a"]),
-        # Peers of the own failure domain only where nothing else is left.
+        # The own failure domain only where there are too few other peers.
         (["r0-a", "r0-a"], ["r0-a", "r0-a"]),
         (["r0-b", "r0-a"], ["r0-b", "r0-a"]),
         ([], []),
@@ -89,8 +94,8 @@
 def test_acknowledgements_come_from_other_failure_domains(domains, order):
     own = _table_test.member(0)
     peers = [_at(number, name) for number, name in enumerate(domains, start=1)]
-    found = _spread.acknowledgement_order(own=own, peers=peers)
-    assert [m.place.failure_domain for m in found] == order
+    addresses = _dissemination.acknowledgement_order(own=own, peers=peers)
+    assert [m.place.failure_domain for m in addresses] == order
 
 
 def _at(number, domain):
@@ -110,7 +115,7 @@
             state=state,
         )
 
-    found = _replication.entry_addresses(
+    addresses = _replication.entry_addresses(
         [
             vm("10.0.0.1"),
             vm("10.0.0.2:9"),
@@ -120,4 +125,4 @@
         ],
         port=7,
     )
-    assert list(map(str, found)) == ["10.0.0.1:7", "10.0.0.2:9"]
+    assert list(map(str, addresses)) == ["10.0.0.1:7", "10.0.0.2:9"]
--- a/wigeonrouter/membership/_schedule.py
+++ b/wigeonrouter/membership/_schedule.py
@@ -1,67 +1,84 @@
-"""Chooses the peers of exchanges, probes and pushes.
+"""Selects the peers for exchanges, indirect probes and pushes.
 
-Each list is shuffled and then used in turn, so that each peer is reached
-within a bounded time and a failed one cannot stay unnoticed by bad luck.
+Peers are visited round-robin in shuffled order. This bounds the time between
+two visits of a peer, and so the time until its failure is detected; random
+selection would not.
 """
 
-# Bytes between regions are paid for: of five exchanges one leaves the region.
-LOCAL_EXCHANGES = 4
-DEAD_RETRY_S = 5.0
-HELPERS = 3
+# Traffic between regions is billed: one of five exchanges leaves the region.
+LOCAL_EXCHANGES_PER_REMOTE = 4
+DEAD_RETRY_INTERVAL_S = 5.0
+# Number of members that are asked to probe a member that did not respond.
+INDIRECT_PROBES = 3
+# Number of peers to which a change is pushed at once.
 PUSH_FANOUT = 3
 
 
 class Schedule:
-    """Pure: reads the table and the generator it was given, no clock."""
+    """Peer selection by a member table and a random.Random; reads no clock."""
 
     def __init__(self, *, table, rng):
         self._table = table
         self._rng = rng
-        self._rounds = {True: [], False: []}
-        self._count = 0
-        self._dead_retried = 0.0
+        self._peer_rounds = {True: [], False: []}
+        self._exchange_count = 0
+        self._last_dead_retry = 0.0
         self._dead_round = []
 
     def next_peer(self):
-        """Return the member for the next exchange, or None."""
-        self._count += 1
-        local = self._count % (LOCAL_EXCHANGES + 1) != 0
-        return self._next(local) or self._next(not local)
-
-    def next_dead(self, *, now):
-        """Return a dead member whose turn it is, or None."""
-        if now - self._dead_retried < DEAD_RETRY_S:
+        """Return the member for the next exchange, or None without peers."""
+        self._exchange_count += 1
+        local = self._exchange_count % (LOCAL_EXCHANGES_PER_REMOTE + 1) != 0
+        return self._next_in_round(local) or self._next_in_round(not local)
+
+    def next_dead_member(self, *, now):
+        """Return the dead member to retry, or None.
+
+        One is due every DEAD_RETRY_INTERVAL_S.
+
+        Args:
+          now: current time, seconds.
+        """
+        if now - self._last_dead_retry < DEAD_RETRY_INTERVAL_S:
             return None
         dead = {member.daemon_id: member for member in self._table.dead}
         if not dead:
             return None
-        self._dead_retried = now
+        self._last_dead_retry = now
         while True:
             if not self._dead_round:
                 self._dead_round = list(dead)
                 self._rng.shuffle(self._dead_round)
-            name = self._dead_round.pop()
-            if name in dead:
-                return dead[name]
+            peer_id = self._dead_round.pop()
+            if peer_id in dead:
+                return dead[peer_id]
 
-    def hurry_dead(self):
-        """Let the next dead member be tried at once."""
-        self._dead_retried = float("-inf")
+    def retry_dead_now(self):
+        """Make the next retry of a dead member due at once."""
+        self._last_dead_retry = float("-inf")
 
-    def helpers(self, target):
-        """Return the peers that should try to reach a target."""
+    def indirect_probers(self, target):
+        """Return the peers to ask for an indirect probe of a target.
+
+        Args:
+          target: id of the member that did not respond.
+        """
         peers = [
             peer
             for peer in self._table.alive
             if peer.daemon_id not in (target, self._table.own.daemon_id)
         ]
-        return self._rng.sample(peers, min(HELPERS, len(peers)))
+        return self._rng.sample(peers, min(INDIRECT_PROBES, len(peers)))
 
     def push_targets(self, *, excluded=()):
-        """Return the peers for an eager push.
+        """Return at most PUSH_FANOUT peers for an eager push.
+
+        All but one are in the own region, and one is in another region, so
+        that a change reaches the other regions without delay. Where one side
+        has too few peers, the other one fills up.
 
-        Most are in the own region; one is in another region, where there is
-        one, so that a change spreads everywhere at once.
+        Args:
+          excluded: ids of daemons that have the change already.
         """
         peers = [
             peer
@@ -72,11 +89,11 @@
         local = [peer for peer in peers if self._is_local(peer)]
         remote = [peer for peer in peers if not self._is_local(peer)]
         chosen = local[: PUSH_FANOUT - 1] + remote[:1]
-        rest = [peer for peer in peers if peer not in chosen]
-        return chosen + rest[: PUSH_FANOUT - len(chosen)]
+        remaining = [peer for peer in peers if peer not in chosen]
+        return chosen + remaining[: PUSH_FANOUT - len(chosen)]
 
-    def _next(self, local):
-        """Return the next member of the local or the remote round."""
+    def _next_in_round(self, local):
+        """Return the next member in the own region or in the other ones."""
         current = {
             peer.daemon_id: peer
             for peer in self._table.peers
@@ -85,12 +102,12 @@
         if not current:
             return None
         while True:
-            if not self._rounds[local]:
-                self._rounds[local] = list(current)
-                self._rng.shuffle(self._rounds[local])
-            name = self._rounds[local].pop()
-            if name in current:
-                return current[name]
+            if not self._peer_rounds[local]:
+                self._peer_rounds[local] = list(current)
+                self._rng.shuffle(self._peer_rounds[local])
+            peer_id = self._peer_rounds[local].pop()
+            if peer_id in current:
+                return current[peer_id]
 
     def _is_local(self, peer):
         return peer.place.region == self._table.own.place.region
--- a/wigeonrouter/membership/_table.py
+++ b/wigeonrouter/membership/_table.py
@@ -1,7 +1,8 @@
-"""The member table: what one daemon believes about the others.
+"""The member table: one daemon's view of the states of all daemons.
 
-The table is a pure state machine: it reads no clock and sends nothing. Times
-are seconds on the caller's monotonic clock.
+Records are ordered by incarnation and state, as in SWIM. The table is a pure
+state machine: it reads no clock and sends nothing. Times are seconds on the
+caller's monotonic clock.
 """
 
 import dataclasses
@@ -12,34 +13,34 @@
 from wigeonrouter import core
 from wigeonrouter.membership import _updates
 
-SUSPECT_S = 3.0
-DEAD_KEPT_S = 600.0
-# Bounds one message; the least sent updates go first.
-MAX_UPDATES = 64
+SUSPICION_TIMEOUT_S = 3.0
+DEAD_RETENTION_S = 600.0
+# Bound on the updates piggybacked on one message; the least sent go first.
+MAX_UPDATES_PER_MESSAGE = 64
 
-# A statement about the same life of a daemon wins by the later of these.
-_PRECEDENCE = {
+# Of two records with the same incarnation the state that ranks higher wins.
+_STATE_PRECEDENCE = {
     core.MemberState.STARTING: -1,
     core.MemberState.ALIVE: 0,
     core.MemberState.SUSPECT: 1,
     core.MemberState.LEAVING: 2,
     core.MemberState.DEAD: 3,
 }
-# States in which a member runs and is not named to callers.
-_UNNAMED = (core.MemberState.STARTING, core.MemberState.LEAVING)
+# States in which a member runs, but is not advertised to callers.
+_UNADVERTISED_STATES = (core.MemberState.STARTING, core.MemberState.LEAVING)
 
 
 class MemberTable:
-    """Owns the records of all known daemons, this one included."""
+    """Records of all known daemons, including this one."""
 
     def __init__(self, *, own):
         self._own = own
         self._members = {own.daemon_id: own}
-        # Time at which a suspect, or a leaving member that does not answer,
-        # is declared dead.
+        # Times at which a suspect, or a starting or leaving member that does
+        # not respond, is declared dead.
         self._deadlines = {}
-        self._died = {}
-        self._updates = _updates.Updates()
+        self._died_at = {}
+        self._updates = _updates.TransmitLimitedQueue()
         self._updates.add(own.daemon_id)
         self._alive = None
         self._leaving = set()
@@ -57,7 +58,7 @@
 
     @property
     def alive(self):
-        """Members that may be named to callers."""
+        """Tuple of the alive members, which are advertised to callers."""
         if self._alive is None:
             self._alive = tuple(
                 member
@@ -68,7 +69,7 @@
 
     @property
     def peers(self):
-        """Other members that are not dead."""
+        """Tuple of the other members that are not dead."""
         return tuple(
             member
             for member in self._members.values()
@@ -78,8 +79,8 @@
 
     @property
     def dead(self):
-        """Members that were declared dead and are still kept."""
-        return tuple(self._members[daemon_id] for daemon_id in self._died)
+        """Tuple of the members that were declared dead and not yet removed."""
+        return tuple(self._members[daemon_id] for daemon_id in self._died_at)
 
     @property
     def leaving_ids(self):
@@ -90,20 +91,20 @@
     def digest(self):
         """Digest of the members that are not dead, a 64-bit integer.
 
-        Suspicion is left out: it ends within seconds by itself.
+        Suspicion is not included, because it resolves within seconds.
         """
         return self._digest
 
     @property
-    def settled(self):
-        """Whether no update waits to be sent."""
+    def all_updates_sent(self):
+        """Whether no update is pending."""
         return not self._updates
 
     def owns_in_region(self, task):
-        """Return whether this daemon does a task for its region.
+        """Return whether this daemon owns a task of its region.
 
-        Of the daemons of a region that are alive one does it, by rendezvous
-        hash. For a moment after a change of view two may, or none.
+        Rendezvous hashing selects one of the region's alive daemons. While
+        the daemons' views differ there may be two owners, or none.
 
         Args:
           task: name of the task.
@@ -122,17 +123,17 @@
         return self._members.get(daemon_id)
 
     def merge(self, member, *, now=0.0, direct=False):
-        """Take over a statement about a member if it is newer.
+        """Apply a received record if it is newer than the known one.
 
-        A statement that this daemon itself is suspect or dead is refuted. A
-        third party's statement that a member is dead only makes it suspect
-        where it was not suspected before, so that a region that lost contact
-        cannot take away the live members of another one when it rejoins.
+        A record that says that this daemon is suspect or dead is refuted. A
+        third party's report of a death makes an alive member only suspect,
+        so that a region that rejoins after a network partition cannot remove
+        the live members of another region.
 
         Args:
-          member: core.Member.
-          now: time of arrival.
-          direct: whether the member itself sent the statement.
+          member: core.Member, the received record.
+          now: time of arrival, seconds.
+          direct: whether the member itself sent the record.
         Returns:
           Whether the table changed.
         """
@@ -141,7 +142,7 @@
         known = self._members.get(member.daemon_id)
         if known is not None and _rank(member) <= _rank(known):
             if direct:
-                self._answered(known, now)
+                self._record_contact(known, now)
             return False
         if (
             member.state is core.MemberState.DEAD
@@ -152,31 +153,34 @@
             member = dataclasses.replace(
                 member, state=core.MemberState.SUSPECT
             )
-        self._set(member, now)
+        self._store_record(member, now)
         return True
 
     def suspect(self, daemon_id, *, now):
-        """Note that neither this daemon nor its helpers reached a member.
+        """Start suspicion: direct and indirect probes of a member failed.
 
+        Args:
+          daemon_id: id of the member.
+          now: current time, seconds.
         Returns:
           Whether the table changed.
         """
         known = self._members.get(daemon_id)
         if known is None or daemon_id == self._own.daemon_id:
             return False
-        if known.state in _UNNAMED:
-            # A member that callers are not sent to keeps its state until it
-            # is gone.
-            self._deadlines.setdefault(daemon_id, now + SUSPECT_S)
+        if known.state in _UNADVERTISED_STATES:
+            # A member that is not advertised needs no suspect state; it is
+            # declared dead at the deadline.
+            self._deadlines.setdefault(daemon_id, now + SUSPICION_TIMEOUT_S)
         if known.state is not core.MemberState.ALIVE:
             return False
-        self._set(
+        self._store_record(
             dataclasses.replace(known, state=core.MemberState.SUSPECT), now
         )
         return True
 
     def expire(self, *, now):
-        """Declare overdue suspects dead and forget members long dead.
+        """Declare overdue members dead; remove those dead for long.
 
         Returns:
           Whether the table changed.
@@ -188,87 +192,95 @@
         ]
         for daemon_id in overdue:
             known = self._members[daemon_id]
-            self._set(
+            self._store_record(
                 dataclasses.replace(known, state=core.MemberState.DEAD), now
             )
         forgotten = [
             daemon_id
-            for daemon_id, died in self._died.items()
-            if died + DEAD_KEPT_S <= now
+            for daemon_id, died_at in self._died_at.items()
+            if died_at + DEAD_RETENTION_S <= now
         ]
         for daemon_id in forgotten:
-            del self._died[daemon_id]
+            del self._died_at[daemon_id]
             del self._members[daemon_id]
             self._updates.discard(daemon_id)
         return bool(overdue or forgotten)
 
-    def postpone(self, seconds):
-        """Move every deadline after this daemon itself did not run."""
-        for times in (self._deadlines, self._died):
+    def extend_deadlines(self, seconds):
+        """Move all deadlines later, after a pause of this process.
+
+        Args:
+          seconds: duration of the pause.
+        """
+        for times in (self._deadlines, self._died_at):
             for daemon_id in times:
                 times[daemon_id] += seconds
 
     def become_ready(self):
-        """Mark this daemon as one that callers may be sent to."""
-        self._set_own(
+        """Set this daemon's state to alive, which advertises it."""
+        self._store_own_record(
             dataclasses.replace(self._own, state=core.MemberState.ALIVE)
         )
 
     def leave(self):
-        """Mark this daemon as leaving."""
-        self._set_own(
+        """Set this daemon's state to leaving."""
+        self._store_own_record(
             dataclasses.replace(self._own, state=core.MemberState.LEAVING)
         )
 
     @property
     def retransmit_limit(self):
-        """Number of messages in which one update rides."""
-        size = len(self._members) - len(self._died)
+        """Number of messages on which one update is piggybacked."""
+        size = len(self._members) - len(self._died_at)
         return math.ceil(4 * math.log2(max(size, 2)))
 
-    def take_updates(self, *, receiver=None, limit=MAX_UPDATES):
-        """Return the members to be sent with one message.
+    def take_updates(self, *, receiver=None, limit=MAX_UPDATES_PER_MESSAGE):
+        """Return the list of records to piggyback on one message.
 
         Args:
-          receiver: id of the receiving daemon, if known; a statement that
-            it has to refute is always included.
-          limit: bound on the number of other members.
+          receiver: id of the receiving daemon, if known. Its own record is
+            always included where it is suspect or dead, so that it can
+            refute that.
+          limit: bound on the number of the other records.
         """
-        names = self._updates.take(limit=limit, sends=self.retransmit_limit)
-        members = [self._members[name] for name in names]
+        member_ids = self._updates.take(
+            limit=limit, max_sends=self.retransmit_limit
+        )
+        members = [self._members[member_id] for member_id in member_ids]
         known = self._members.get(receiver)
         if (
             known is not None
-            and receiver not in names
+            and receiver not in member_ids
             and known.state
             in (core.MemberState.SUSPECT, core.MemberState.DEAD)
         ):
             members.append(known)
         return members
 
-    def _answered(self, known, now):
-        """Note that a member runs that was believed to be failing.
+    def _record_contact(self, known, now):
+        """Restart or cancel the deadline of a member that responded.
 
-        It learns of the suspicion with the next message and refutes it.
+        A suspect learns of the suspicion with the next message sent to it
+        and refutes it with a higher incarnation.
         """
         if known.state is core.MemberState.SUSPECT:
-            self._deadlines[known.daemon_id] = now + SUSPECT_S
+            self._deadlines[known.daemon_id] = now + SUSPICION_TIMEOUT_S
         else:
             self._deadlines.pop(known.daemon_id, None)
 
     def _refute(self, member):
         if _rank(member) <= _rank(self._own):
             return False
-        self._set_own(
+        self._store_own_record(
             dataclasses.replace(self._own, incarnation=member.incarnation + 1)
         )
         return True
 
-    def _set_own(self, member):
+    def _store_own_record(self, member):
         self._own = member
-        self._set(member, 0.0)
+        self._store_record(member, 0.0)
 
-    def _set(self, member, now):
+    def _store_record(self, member, now):
         daemon_id = member.daemon_id
         known = self._members.get(daemon_id)
         if known is not None:
@@ -276,12 +288,12 @@
         self._digest ^= _hash(member)
         self._members[daemon_id] = member
         self._deadlines.pop(daemon_id, None)
-        self._died.pop(daemon_id, None)
+        self._died_at.pop(daemon_id, None)
         self._leaving.discard(daemon_id)
         if member.state is core.MemberState.SUSPECT:
-            self._deadlines[daemon_id] = now + SUSPECT_S
+            self._deadlines[daemon_id] = now + SUSPICION_TIMEOUT_S
         elif member.state is core.MemberState.DEAD:
-            self._died[daemon_id] = now
+            self._died_at[daemon_id] = now
         elif member.state is core.MemberState.LEAVING:
             self._leaving.add(daemon_id)
         self._updates.add(daemon_id)
@@ -289,13 +301,14 @@
 
 
 def _rank(member):
-    return member.incarnation, _PRECEDENCE[member.state]
+    return member.incarnation, _STATE_PRECEDENCE[member.state]
 
 
 def _hash(member):
+    """Return a record's share of the digest; 0 leaves dead members out."""
     if member.state is core.MemberState.DEAD:
         return 0
-    state = member.state if member.state in _UNNAMED else ""
+    state = member.state if member.state in _UNADVERTISED_STATES else ""
     return xxhash.xxh3_64_intdigest(
         f"{member.daemon_id} {member.incarnation} {state}".encode()
     )
--- a/wigeonrouter/membership/_table_test.py
+++ b/wigeonrouter/membership/_table_test.py
@@ -1,4 +1,7 @@
-"""Guards against wrong beliefs about members."""
+"""Tests of the member table and of peer selection.
+
+Guards against members that are wrongly seen as alive or dead.
+"""
 
 import dataclasses
 import random
@@ -38,14 +41,14 @@
 
 
 @pytest.mark.parametrize(
-    ("known", "heard", "after"),
+    ("known", "received", "after"),
     [
         ((_STATES.ALIVE, 1), (_STATES.SUSPECT, 1), (_STATES.SUSPECT, 1)),
         ((_STATES.SUSPECT, 1), (_STATES.ALIVE, 1), (_STATES.SUSPECT, 1)),
         ((_STATES.SUSPECT, 1), (_STATES.ALIVE, 2), (_STATES.ALIVE, 2)),
         ((_STATES.ALIVE, 2), (_STATES.SUSPECT, 1), (_STATES.ALIVE, 2)),
         ((_STATES.ALIVE, 2), (_STATES.DEAD, 1), (_STATES.ALIVE, 2)),
-        # A third party's word alone does not remove a live member.
+        # A third party's report alone does not remove an alive member.
         ((_STATES.ALIVE, 1), (_STATES.DEAD, 1), (_STATES.SUSPECT, 1)),
         ((_STATES.SUSPECT, 1), (_STATES.DEAD, 1), (_STATES.DEAD, 1)),
         ((_STATES.DEAD, 1), (_STATES.ALIVE, 1), (_STATES.DEAD, 1)),
@@ -56,9 +59,9 @@
         ((_STATES.LEAVING, 1), (_STATES.DEAD, 1), (_STATES.DEAD, 1)),
     ],
 )
-def test_the_newer_statement_wins(known, heard, after):
+def test_the_newer_record_wins(known, received, after):
     table = _table_with(member(1, state=known[0], incarnation=known[1]))
-    table.merge(member(1, state=heard[0], incarnation=heard[1]), now=0.0)
+    table.merge(member(1, state=received[0], incarnation=received[1]), now=0.0)
     found = table.find("d1")
     assert (found.state, found.incarnation) == after
 
@@ -79,7 +82,7 @@
     assert table.own.state is _STATES.LEAVING
 
 
-def test_a_suspect_is_declared_dead_after_its_time_and_then_forgotten():
+def test_a_suspect_is_declared_dead_after_the_timeout_and_later_removed():
     table = _table_with(member(1))
     table.suspect("d1", now=10.0)
     assert not table.expire(now=12.9)
@@ -91,28 +94,28 @@
     assert table.find("d1") is None
 
 
-def test_a_leaving_member_that_does_not_answer_is_declared_dead():
+def test_an_unresponsive_leaving_member_is_declared_dead():
     table = _table_with(member(1, state=_STATES.LEAVING))
     table.suspect("d1", now=0.0)
     table.expire(now=3.0)
     assert table.find("d1").state is _STATES.DEAD
 
 
-def test_a_pause_of_this_daemon_does_not_kill_suspects():
+def test_a_pause_of_this_daemon_extends_the_suspicion_timeout():
     table = _table_with(member(1))
     table.suspect("d1", now=0.0)
-    table.postpone(60.0)
+    table.extend_deadlines(60.0)
     table.expire(now=60.0)
     assert table.find("d1").state is _STATES.SUSPECT
 
 
-def test_an_update_rides_a_bounded_number_of_times():
+def test_an_update_is_sent_a_bounded_number_of_times():
     table = _table_with(*(member(number) for number in range(1, 8)))
     sent = [m.daemon_id for _ in range(100) for m in table.take_updates()]
     assert {sent.count(m.daemon_id) for m in table.members} == {12}
 
 
-def test_a_suspect_always_hears_that_it_is_suspected():
+def test_a_suspect_is_always_sent_its_suspicion():
     table = _table_with(member(1))
     table.suspect("d1", now=0.0)
     for _ in range(100):
@@ -120,7 +123,7 @@
     assert [m.state for m in sent] == [_STATES.SUSPECT]
 
 
-def test_exchanges_reach_each_peer_in_turn_and_mostly_the_own_region():
+def test_exchanges_are_round_robin_and_mostly_in_the_own_region():
     table = _table_with(*(member(number) for number in range(1, 9)))
     schedule = _schedule.Schedule(table=table, rng=random.Random(1))
     chosen = [schedule.next_peer() for _ in range(100)]
@@ -130,19 +133,19 @@
         assert len({m.daemon_id for m in local[start : start + 4]}) == 4
 
 
-def test_a_push_leaves_the_region_and_one_dead_member_is_tried_each_time():
+def test_a_push_reaches_another_region_and_dead_members_are_retried_in_turn():
     dead = [member(n, state=_STATES.DEAD) for n in range(9, 12)]
     table = _table_with(*(member(n) for n in range(1, 9)), *dead)
     schedule = _schedule.Schedule(table=table, rng=random.Random(1))
     regions = [m.place.region for m in schedule.push_targets()]
     assert sorted(regions) == ["r0", "r0", "r1"]
-    tried = [schedule.next_dead(now=now) for now in range(1, 16)]
+    tried = [schedule.next_dead_member(now=now) for now in range(1, 16)]
     assert {m.daemon_id for m in tried if m} == {"d9", "d10", "d11"}
     assert sum(m is not None for m in tried) == 3
 
 
 class GossipMachine(stateful.RuleBasedStateMachine):
-    """Daemons exchange while some are frozen, replaced or cut off."""
+    """Daemons gossip while some are paused, replaced or partitioned."""
 
     def __init__(self):
         super().__init__()
@@ -158,9 +161,9 @@
             _schedule.Schedule(table=table, rng=self.rng)
             for table in self.tables
         ]
-        self.frozen = set()
-        self.cut = False
-        self.ranks = {}
+        self.paused = set()
+        self.partitioned = False
+        self.incarnations = {}
 
     numbers = strategies.integers(0, _NODES - 1)
 
@@ -168,21 +171,21 @@
     def pass_time(self, seconds):
         self.now += seconds
         for number, table in enumerate(self.tables):
-            if number not in self.frozen:
+            if number not in self.paused:
                 table.expire(now=self.now)
 
     @stateful.rule()
     def round(self):
         for number in range(_NODES):
-            self._turn(number)
+            self._gossip_round(number)
 
     @stateful.rule(number=numbers)
-    def freeze_or_resume(self, number):
-        self.frozen ^= {number}
+    def pause_or_resume(self, number):
+        self.paused ^= {number}
 
     @stateful.rule(number=numbers)
     def replace(self, number):
-        """A new process with the id of the old one knows one peer."""
+        """Replace a daemon by a new process that knows one peer only."""
         own = dataclasses.replace(
             member(number), incarnation=int(self.now * 1000)
         )
@@ -190,36 +193,38 @@
         self.schedules[number] = _schedule.Schedule(
             table=self.tables[number], rng=self.rng
         )
-        self.frozen.discard(number)
-        self.ranks = {
-            key: rank for key, rank in self.ranks.items() if key[0] != number
+        self.paused.discard(number)
+        self.incarnations = {
+            key: seen
+            for key, seen in self.incarnations.items()
+            if key[0] != number
         }
         for seed in range(_NODES):
             if self._exchange(number, seed, full=True):
                 break
 
-    @stateful.rule(cut=strategies.booleans())
-    def cut_regions(self, cut):
-        self.cut = cut
+    @stateful.rule(partitioned=strategies.booleans())
+    def cut_regions(self, partitioned):
+        self.partitioned = partitioned
 
     @stateful.invariant()
-    def own_record_is_never_failed_and_incarnations_never_fall(self):
+    def own_record_is_alive_and_incarnations_never_decrease(self):
         for number, table in enumerate(self.tables):
             assert table.own.state is _STATES.ALIVE
             assert table.find(table.own.daemon_id) == table.own
             for other in table.members:
                 key = (number, other.daemon_id)
-                assert other.incarnation >= self.ranks.get(key, 0)
-                self.ranks[key] = other.incarnation
+                assert other.incarnation >= self.incarnations.get(key, 0)
+                self.incarnations[key] = other.incarnation
 
     def teardown(self):
-        """Once all is well again, all agree within a bounded time."""
-        self.cut = False
-        self.frozen.clear()
+        """Check that all views converge in bounded time without faults."""
+        self.partitioned = False
+        self.paused.clear()
         for _ in range(120):
             self.now += 1.0
             for number in range(_NODES):
-                self._turn(number)
+                self._gossip_round(number)
                 self.tables[number].expire(now=self.now)
         for table in self.tables:
             assert {m.daemon_id for m in table.alive} == {
@@ -227,32 +232,32 @@
             }
         assert len({table.digest for table in self.tables}) == 1
 
-    def _turn(self, number):
-        """What Gossip.exchange_once does, without its calls."""
-        if number in self.frozen:
+    def _gossip_round(self, number):
+        """Do the steps of Gossip.exchange_once without network calls."""
+        if number in self.paused:
             return
         schedule, table = self.schedules[number], self.tables[number]
         peer = schedule.next_peer()
         if peer is None:
             self._exchange(number, (number + 1) % _NODES, full=True)
         elif not self._exchange(number, int(peer.daemon_id[1:])):
-            helped = any(
+            indirectly_reached = any(
                 self._reaches(number, int(h.daemon_id[1:]))
                 and self._reaches(
                     int(h.daemon_id[1:]), int(peer.daemon_id[1:])
                 )
-                for h in schedule.helpers(peer.daemon_id)
+                for h in schedule.indirect_probers(peer.daemon_id)
             )
-            if not helped:
+            if not indirectly_reached:
                 table.suspect(peer.daemon_id, now=self.now)
-        dead = schedule.next_dead(now=self.now)
+        dead = schedule.next_dead_member(now=self.now)
         if dead and self._exchange(number, int(dead.daemon_id[1:]), full=True):
-            schedule.hurry_dead()
+            schedule.retry_dead_now()
 
     def _reaches(self, first, second):
         return not (
-            {first, second} & self.frozen
-            or (self.cut and first % 2 != second % 2)
+            {first, second} & self.paused
+            or (self.partitioned and first % 2 != second % 2)
         )
 
     def _exchange(self, first, second, full=False):
@@ -272,7 +277,7 @@
             target.merge(update, now=self.now)
 
 
-def test_members_agree_again_after_any_sequence_of_failures():
+def test_views_converge_after_any_sequence_of_failures():
     stateful.run_state_machine_as_test(
         GossipMachine,
         settings=hypothesis_settings(
--- a/wigeonrouter/membership/_tls_test.py
+++ b/wigeonrouter/membership/_tls_test.py
@@ -1,4 +1,4 @@
-"""Who may connect to a daemon's peer port, and replacing certificates."""
+"""Tests of the peer port's authentication and of certificate rotation."""
 
 import grpc
 import pytest
@@ -24,7 +24,7 @@
 
 @pytest.fixture
 def authorities(tmp_path):
-    """Two authorities with certificates for d1 and d2."""
+    """Directory of two authorities that issued certificates to d1 and d2."""
     for name in ("old", "new"):
         folder = tmp_path / name
         folder.mkdir()
@@ -51,7 +51,7 @@
 
 @pytest.fixture
 def serve():
-    """Returns a function that starts a server and gives its address."""
+    """A function that starts a peer server and returns its address."""
     servers = []
 
     def start(tls):
@@ -79,15 +79,15 @@
     ("signer", "certificate", "stated", "sender", "served"),
     [
         ("old", "d2", "d2", "d2", True),
-        # Another authority.
+        # Signed by an untrusted authority.
         ("new", "d2", "d2", "d2", False),
-        # Another daemon's name, in the metadata or in the message.
+        # Another daemon's id in the metadata or in the message.
         ("old", "d2", "d1", "d1", False),
         ("old", "d2", "d2", "d1", False),
         ("old", "d2", "d1", "d2", False),
     ],
 )
-def test_only_the_named_daemon_is_served(
+def test_only_the_daemon_named_by_the_certificate_is_served(
     authorities, serve, signer, certificate, stated, sender, served
 ):
     address = serve(membership.PeerTls(**_files(authorities, "d1")))
@@ -109,7 +109,7 @@
 
 
 class _NoCertificate:
-    """Trusts an authority and shows no certificate."""
+    """Trusts an authority, but presents no client certificate."""
 
     def __init__(self, authority_file):
         self.channel_credentials = grpc.ssl_channel_credentials(
@@ -128,7 +128,7 @@
 
 
 def test_a_server_at_another_address_is_not_trusted(authorities, serve):
-    """Guards against a stolen certificate of another VM."""
+    """Guards against a server that uses a certificate stolen from a VM."""
     address = serve(membership.PeerTls(**_files(authorities, "d3")))
     tls = membership.PeerTls(**_files(authorities, "d2"))
     client = _client.PeerClient(daemon_id="d2", tls=tls)
@@ -137,7 +137,7 @@
 
 
 def test_certificates_are_replaced_without_an_outage(authorities, serve):
-    """Guards against peers that lose contact while authorities change."""
+    """Guards against lost connections while the authority is replaced."""
     server_tls = membership.PeerTls(**_files(authorities, "d1"))
     client_tls = membership.PeerTls(**_files(authorities, "d2"))
     address = serve(server_tls)
@@ -166,8 +166,8 @@
     late.close()
 
 
-def test_unusable_files_change_nothing(authorities, serve):
-    """Guards against a daemon that loses its certificate at a reload."""
+def test_a_failed_reload_keeps_the_certificate(authorities, serve):
+    """Guards against a failed reload that drops the current certificate."""
     tls = membership.PeerTls(**_files(authorities, "d1"))
     wrong = _files(authorities, "d1")
     wrong["key_file"] = _files(authorities, "d2")["key_file"]
--- a/wigeonrouter/membership/_transport.py
+++ b/wigeonrouter/membership/_transport.py
@@ -1,4 +1,4 @@
-"""Peer messages over gRPC."""
+"""gRPC server and channels for the peer service."""
 
 import collections
 from concurrent import futures
@@ -10,15 +10,17 @@
 from wigeonrouter.schema import peer_pb2_grpc
 
 SENDER_KEY = _tls.SENDER_KEY
-_WORKERS = 16
-# A channel and the peer's end of it take 62 KB together. Several hundred
-# peers are each called rarely, and reconnecting costs 2 ms. Far more than the
-# calls that one daemon makes at once.
+_MAX_WORKER_THREADS = 16
+# A channel and the peer's end of it take 62 KB together. There may be several
+# hundred peers, each of them is called rarely, and reconnecting takes 2 ms.
+# The limit is far above the number of concurrent calls of one daemon.
 MAX_CHANNELS = 64
-# A connection whose certificate is no longer accepted lasts at most as long.
-_TLS_AGE_MS = 600_000
-# Peers come back after restarts; the default back-off of two minutes would
-# keep a rejoined region apart for longer than configuration may take.
+# Longest time for which a connection outlives the acceptance of its
+# certificate.
+_MAX_TLS_CONNECTION_AGE_MS = 600_000
+# Reconnects quickly to restarted peers. The default maximum backoff of two
+# minutes would keep a rejoining region disconnected for longer than a
+# configuration change may take to reach it.
 _CHANNEL_OPTIONS = (
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 100),
@@ -27,8 +29,8 @@
 )
 
 
-class _DropCalls(grpc.ServerInterceptor):
-    """Refuses the calls of some daemons, as a cut between them would."""
+class _DropCallsInterceptor(grpc.ServerInterceptor):
+    """Fails the calls of some daemons, which simulates a partition."""
 
     def __init__(self, dropped):
         self._dropped = dropped
@@ -36,37 +38,44 @@
     def intercept_service(self, continuation, handler_call_details):
         sender = dict(handler_call_details.invocation_metadata).get(SENDER_KEY)
         if sender in self._dropped:
-            return grpc.unary_unary_rpc_method_handler(_refuse)
+            return grpc.unary_unary_rpc_method_handler(_abort_dropped_call)
         return continuation(handler_call_details)
 
 
-def _refuse(_, context):
+def _abort_dropped_call(_, context):
     context.abort(grpc.StatusCode.UNAVAILABLE, "dropped by a test")
 
 
 class PeerServer:
-    """Listens for peers and passes their messages to a servicer."""
+    """gRPC server of the peer service."""
 
     def __init__(self, *, address, servicer, dropped=None, tls=None):
         """Bind the address.
 
         Args:
-          address: core.Address; port 0 takes a free one.
+          address: core.Address; port 0 selects a free port.
           servicer: peer_pb2_grpc.PeerServicer.
           dropped: set of ids of daemons whose calls fail; for tests only.
-          tls: PeerTls, or None for plain connections.
+          tls: PeerTls, or None for unencrypted connections.
+        Raises:
+          OSError: the address cannot be bound.
         """
-        # gRPC reports an address in use as RuntimeError without the cause.
+        # Binds a socket first, because gRPC reports an address in use as a
+        # RuntimeError without the cause.
         with socket.socket() as probe:
             probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             probe.bind((address.host, address.port))
-        interceptors = [] if dropped is None else [_DropCalls(dropped)]
+        interceptors = (
+            [] if dropped is None else [_DropCallsInterceptor(dropped)]
+        )
         options = [("grpc.so_reuseport", 0)]
         if tls is not None:
-            interceptors.append(_tls.RequireName())
-            options.append(("grpc.max_connection_age_ms", _TLS_AGE_MS))
+            interceptors.append(_tls.SenderNameInterceptor())
+            options.append(
+                ("grpc.max_connection_age_ms", _MAX_TLS_CONNECTION_AGE_MS)
+            )
         self._server = grpc.server(
-            futures.ThreadPoolExecutor(max_workers=_WORKERS),
+            futures.ThreadPoolExecutor(max_workers=_MAX_WORKER_THREADS),
             interceptors=interceptors,
             options=options,
         )
@@ -84,16 +93,16 @@
         return self._port
 
     def start(self):
-        """Listen."""
+        """Start to serve peers."""
         self._server.start()
 
     def stop(self, *, grace):
-        """Stop listening; calls in progress get grace seconds."""
+        """Stop; calls in progress may take another grace seconds."""
         self._server.stop(grace).wait()
 
 
 class PeerChannels:
-    """Owns the channels to the peer addresses that were used last."""
+    """Cache of the channels to the most recently used peer addresses."""
 
     def __init__(self, *, tls=None, limit=MAX_CHANNELS):
         self._tls = tls
@@ -104,7 +113,7 @@
         return len(self._channels)
 
     def stub(self, address):
-        """Return the PeerStub for an address."""
+        """Return the PeerStub for an address, and open a channel if needed."""
         key = str(address)
         if key not in self._channels:
             if self._tls is None:
@@ -118,11 +127,11 @@
             self._channels[key] = (channel, peer_pb2_grpc.PeerStub(channel))
         self._channels.move_to_end(key)
         while len(self._channels) > self._limit:
-            self.forget(next(iter(self._channels)))
+            self.discard(next(iter(self._channels)))
         return self._channels[key][1]
 
     def renew(self):
-        """Use new channels from now on; calls in progress are finished."""
+        """Open new channels from now on; calls in progress may finish."""
         self._channels = collections.OrderedDict()
 
     def keep_only(self, addresses):
@@ -130,10 +139,10 @@
         kept = {str(address) for address in addresses}
         for key in list(self._channels):
             if key not in kept:
-                self.forget(key)
+                self.discard(key)
 
-    def forget(self, address):
-        """Close the channel to an address."""
+    def discard(self, address):
+        """Close and remove the channel to an address."""
         channel, _ = self._channels.pop(str(address), (None, None))
         if channel is not None:
             channel.close()
@@ -141,4 +150,4 @@
     def close(self):
         """Close every channel."""
         for key in list(self._channels):
-            self.forget(key)
+            self.discard(key)
--- a/wigeonrouter/membership/conftest.py
+++ b/wigeonrouter/membership/conftest.py
@@ -1,11 +1,11 @@
-"""A fleet of gossiping daemons in one process, without request path."""
+"""Fixtures: gossiping daemons in one process, without the request path."""
 
 import pytest
 
 from wigeonrouter.bench import _nodes
 
 
-def cut(first, second):
+def partition(first, second):
     """Drop all calls between two groups of nodes."""
     for node in first:
         node.dropped.update(other.daemon_id for other in second)
@@ -14,14 +14,14 @@
 
 
 def heal(nodes):
-    """End every cut."""
+    """Remove every partition."""
     for node in nodes:
         node.dropped.clear()
 
 
 @pytest.fixture
 def nodes(store_standin):
-    """Starts nodes that share one store stand-in."""
+    """Factory of nodes that share one store stand-in; stops them."""
     nodes = _nodes.Nodes(store_standin.port)
     yield nodes
     nodes.stop()
