--- a/wigeonrouter/configuration/__init__.py
+++ b/wigeonrouter/configuration/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration log: acceptance, snapshots and each daemon's replica."""
+"""The configuration log: acceptance, snapshots and replicas."""
 
 from wigeonrouter.configuration import _acceptance
 from wigeonrouter.configuration import _checking
--- a/wigeonrouter/configuration/_acceptance.py
+++ b/wigeonrouter/configuration/_acceptance.py
@@ -1,9 +1,9 @@
-"""Accepts changes by creating log entries in the store.
+"""Acceptance of changes as entries of a log in the store.
 
-Revision N is written to slot N modulo LOG_SLOTS by compare-and-swap against
-the version of the slot's previous occupant. Exactly one writer wins each
-revision, and a writer that was paused for any time cannot overwrite a newer
-entry, because the version it read has gone.
+The log is a ring buffer: revision N is written to slot N modulo LOG_SLOTS, by
+compare-and-swap against the version of the slot's previous entry. Exactly one
+writer wins each revision, and a writer cannot overwrite a newer entry after a
+pause of any length, because the slot's version has changed since its read.
 """
 
 import dataclasses
@@ -18,22 +18,27 @@
 from wigeonrouter.schema import settings_pb2
 
 LOG_SLOTS = 4096
-# Readers that lag by more than a snapshot must still find the log's tail.
-MAX_UNSNAPSHOTTED = 3000
+# Below LOG_SLOTS, so that a reader that loads the newest snapshot still finds
+# all entries after it in the log.
+MAX_REVISIONS_SINCE_SNAPSHOT = 3000
 MAX_ENTRY_BYTES = 1_000_000
-_MAX_RACES = 64
-# Longest encoding of the entry's time.
-_TIME_BYTES = 11
+# Bound on the compare-and-swap attempts of one change.
+_MAX_ATTEMPTS = 64
+# Longest protobuf encoding of the time of an entry.
+_MAX_TIME_FIELD_BYTES = 11
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Proposal:
-    """A change that an operator asks for.
+    """A change requested by an operator.
 
     Attributes:
-      change_id: unique text; repeating it never applies the change twice.
-      base_revision: revision that the operator looked at.
+      change_id: unique text; it makes a repeated proposal idempotent.
+      author: who requested the change.
+      base_revision: revision that the change is based on; later changes of
+        overlapping paths conflict with it.
       changes: tuple of settings_pb2.Change.
+      comment: text for the history.
     """
 
     change_id: str
@@ -45,7 +50,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Conflict:
-    """Another change of an overlapping path came first."""
+    """A change of an overlapping path was accepted after the base revision.
+
+    The path is "/" where the log no longer reaches back to the base revision.
+    """
 
     base_revision: int
     current_revision: int
@@ -54,14 +62,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StoreDown:
-    """The store cannot be used; nothing was written."""
+    """The store is not usable; nothing was written."""
 
     detail: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Undetermined:
-    """The write may or may not have taken effect."""
+    """The result of the write is unknown.
+
+    Repeating the change id determines it.
+    """
 
     change_id: str
     revision: int
@@ -69,7 +80,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class TooLarge:
-    """The change does not fit into one value of the store."""
+    """The log entry exceeds the size limit of one store value, in bytes."""
 
     size: int
     limit: int
@@ -77,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class InvalidChange:
-    """The tree that the change leads to is not accepted.
+    """The resulting tree is invalid.
 
     Attributes:
       errors: tuple of settings.DocumentError.
@@ -87,76 +98,86 @@
 
 
 class LogUnreadable(store_api.StoreError):
-    """The store holds something that is no log entry."""
+    """The log in the store is corrupt or incomplete."""
 
 
 def log_key(revision):
-    """Return the store key of a revision."""
+    """Return the store key of the slot of a revision."""
     return f"config/log/{revision % LOG_SLOTS:04d}"
 
 
 def accept(*, store, replica, proposal, now_ms, policies=None, pause=None):
-    """Write a proposal as the next revision.
+    """Append a proposal to the log as the next revision.
 
     Args:
       store: a Store.
-      replica: a Replica; it is brought up to date.
+      replica: a Replica; it is brought up to date first.
       proposal: a Proposal.
       now_ms: time of the entry, milliseconds since the epoch.
       policies: names of the known policies, or None to accept any.
-      pause: function to call while a large change is checked.
+      pause: function that lets other tasks run, called during validation.
     Returns:
       Success(settings_pb2.LogEntry), or Failure of Conflict, InvalidChange,
       StoreDown, Undetermined or TooLarge.
     """
-    # Revision of an own write whose reply was lost. It stays in doubt until
-    # a newer version of the slot is seen, since it may be delayed.
-    doubtful = None
-    for _ in range(_MAX_RACES):
+    # Revision of an own write whose reply was lost. The write may be delayed,
+    # so its result stays undetermined until an entry of that revision is read
+    # back; a delayed compare-and-swap then fails on the slot's version.
+    undetermined_revision = None
+    for _ in range(_MAX_ATTEMPTS):
         try:
-            occupant = catch_up(store=store, replica=replica)
-            full = _is_log_full(store, replica)
+            slot_item = catch_up(store=store, replica=replica)
+            log_full = _is_log_full(store, replica)
         except store_api.StoreError as error:
-            return _failed(proposal, doubtful, str(error))
+            return _failure(proposal, undetermined_revision, str(error))
         accepted = replica.find_change(proposal.change_id)
         if accepted is not None:
             return result.Success(accepted)
-        if doubtful is not None and replica.revision >= doubtful:
-            doubtful = None
-        if full:
-            return _failed(proposal, doubtful, "the log needs a snapshot")
-        checked = replica.revision
-        refusal = _find_refusal(replica, proposal, policies, pause)
-        if replica.revision != checked:
-            # Peers delivered revisions while the check paused.
+        if (
+            undetermined_revision is not None
+            and replica.revision >= undetermined_revision
+        ):
+            undetermined_revision = None
+        if log_full:
+            return _failure(
+                proposal,
+                undetermined_revision,
+                "the log is full until a snapshot is written",
+            )
+        checked_revision = replica.revision
+        rejection = _find_rejection(replica, proposal, policies, pause)
+        if replica.revision != checked_revision:
+            # Entries from peers were applied during a pause of the validation.
             continue
-        if refusal is not None:
-            return result.Failure(refusal)
-        entry = _entry(replica, proposal, now_ms)
+        if rejection is not None:
+            return result.Failure(rejection)
+        entry = _build_entry(replica, proposal, now_ms)
         try:
             swapped = store.compare_and_swap(
                 key=log_key(entry.revision),
-                expected_version=occupant.version if occupant else 0,
+                expected_version=slot_item.version if slot_item else 0,
                 value=entry.SerializeToString(),
             )
         except store_api.StoreUnavailable as error:
-            return _failed(proposal, doubtful, str(error))
+            return _failure(proposal, undetermined_revision, str(error))
         except store_api.StoreReplyLost:
-            doubtful = entry.revision
+            undetermined_revision = entry.revision
             continue
         if swapped:
             replica.apply_entries((entry,))
             return result.Success(entry)
-    return _failed(proposal, doubtful, "too many concurrent changes")
+    return _failure(
+        proposal, undetermined_revision, "too many concurrent changes"
+    )
 
 
 def catch_up(*, store, replica):
-    """Read every revision that the store has and the replica lacks.
+    """Apply all revisions in the store that the replica lacks.
 
     Returns:
-      The Item in the slot of the next revision, or None where it is empty.
+      The Item in the slot of the next revision, or None for an empty slot.
     Raises:
-      StoreError: the store could not be read.
+      StoreError: the store could not be read, or its log is unreadable.
     """
     if replica.revision == 0:
         _snapshots.load(store=store, replica=replica)
@@ -164,48 +185,61 @@
         revision = replica.revision + 1
         item = store.get(log_key(revision))
         if replica.revision + 1 != revision:
-            # Peers delivered revisions meanwhile; this is another slot.
+            # Entries from peers were applied during the read, so the next
+            # revision is in another slot.
             continue
         if item is None:
             return None
-        entry = _parse(item)
+        entry = _decode_entry(item)
         if entry.revision <= replica.revision:
             return item
         if entry.revision == revision:
             replica.apply_entries((entry,))
         elif not _snapshots.load(store=store, replica=replica):
             if replica.revision + 1 == revision:
-                raise LogUnreadable("the log has no older snapshot")
+                raise LogUnreadable(
+                    "no snapshot covers the overwritten entries of the log"
+                )
 
 
-def _parse(item):
+def _decode_entry(item):
     try:
         return settings_pb2.LogEntry.FromString(item.value)
     except protobuf_message.DecodeError as error:
-        raise LogUnreadable(f"{item.key} holds no log entry") from error
+        raise LogUnreadable(f"{item.key} does not hold a log entry") from error
 
 
 def _is_log_full(store, replica):
-    """Return whether the next entry could overwrite what is not saved."""
-    if replica.revision - replica.snapshot_revision < MAX_UNSNAPSHOTTED:
+    """Return whether too many revisions are not covered by a snapshot."""
+    if (
+        replica.revision - replica.snapshot_revision
+        < MAX_REVISIONS_SINCE_SNAPSHOT
+    ):
         return False
-    replica.note_snapshot(_snapshots.read_pointer(store).revision)
-    return replica.revision - replica.snapshot_revision >= MAX_UNSNAPSHOTTED
+    replica.record_snapshot(_snapshots.read_pointer(store).revision)
+    return (
+        replica.revision - replica.snapshot_revision
+        >= MAX_REVISIONS_SINCE_SNAPSHOT
+    )
 
 
-def _failed(proposal, doubtful, detail):
-    if doubtful is not None:
+def _failure(proposal, undetermined_revision, detail):
+    if undetermined_revision is not None:
         return result.Failure(
-            Undetermined(change_id=proposal.change_id, revision=doubtful)
+            Undetermined(
+                change_id=proposal.change_id, revision=undetermined_revision
+            )
         )
     return result.Failure(StoreDown(detail=detail))
 
 
-def _find_refusal(replica, proposal, policies, pause):
+def _find_rejection(replica, proposal, policies, pause):
     conflict = _find_conflict(replica, proposal)
     if conflict is not None:
         return conflict
-    size = _entry(replica, proposal, 0).ByteSize() + _TIME_BYTES
+    size = (
+        _build_entry(replica, proposal, 0).ByteSize() + _MAX_TIME_FIELD_BYTES
+    )
     if size > MAX_ENTRY_BYTES:
         return TooLarge(size=size, limit=MAX_ENTRY_BYTES)
     errors = _checking.check_changes(
@@ -237,7 +271,7 @@
     return None
 
 
-def _entry(replica, proposal, now_ms):
+def _build_entry(replica, proposal, now_ms):
     return settings_pb2.LogEntry(
         revision=replica.revision + 1,
         change_id=proposal.change_id,
--- a/wigeonrouter/configuration/_acceptance_test.py
+++ b/wigeonrouter/configuration/_acceptance_test.py
@@ -1,4 +1,7 @@
-"""Guards against lost, doubled or reverted configuration changes."""
+"""Tests of acceptance: conflicts, lost replies and idempotent retries.
+
+Guards against lost, duplicated or reverted configuration changes.
+"""
 
 import gevent
 from returns import pipeline
@@ -25,7 +28,7 @@
     )
 
 
-def test_racing_operators_on_one_path_get_one_winner(store):
+def test_of_concurrent_changes_of_one_path_one_is_accepted(store):
     first, second = configuration.Replica(), configuration.Replica()
     tasks = [
         gevent.spawn(_accept, store, replica, _proposal(name))
@@ -41,7 +44,7 @@
     assert conflict.current_revision == 1
 
 
-def test_racing_operators_on_different_paths_both_win(store):
+def test_concurrent_changes_of_different_paths_are_accepted(store):
     first, second = configuration.Replica(), configuration.Replica()
     assert _accept(store, first, _proposal("one", path="/a")).unwrap()
     entry = _accept(store, second, _proposal("two", path="/b")).unwrap()
@@ -63,14 +66,14 @@
     assert replica.revision == 1
 
 
-def test_an_outage_refuses_the_change(store, store_standin):
+def test_an_outage_rejects_the_change(store, store_standin):
     store_standin.inject(store_pb2.FaultCall(down=True))
     failure = _accept(store, configuration.Replica(), _proposal("one"))
     assert isinstance(failure.failure(), configuration.StoreDown)
 
 
-def test_a_writer_that_was_paused_for_a_whole_turn_of_the_log_fails(store):
-    # The paused writer has read slot 1 as empty.
+def test_a_writer_paused_while_the_log_wraps_around_fails(store):
+    # The paused writer read slot 1 while it was empty.
     key = configuration.log_key(1)
     late = settings_pb2.LogEntry(revision=4097, change_id="newer")
     assert store.compare_and_swap(
--- a/wigeonrouter/configuration/_checking.py
+++ b/wigeonrouter/configuration/_checking.py
@@ -1,36 +1,36 @@
-"""Checks a change as a whole before it is accepted.
+"""Validation of a change against the whole tree, before it is accepted.
 
-A document may be valid by itself and still contradict the rest of the tree,
-for instance by matching the requests of another service.
+A document that is valid by itself may still conflict with the rest of the
+tree, for instance by matching the same requests as another service.
 """
 
 import re
 
 from wigeonrouter import settings
 
-_NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
+_NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
 
 
 def check_changes(*, replica, changes, policies=None, pause=None):
-    """Check the tree that changes would lead to.
+    """Validate the tree that results from changes.
 
-    Only the changed nodes and their parents are copied and built, because a
-    copy of the whole tree would cost more than the change.
+    Only the changed nodes and their ancestors are copied and built, because
+    copying the whole tree would cost more than the change itself.
 
     Args:
       replica: a Replica; it is not modified.
       changes: sequence of settings_pb2.Change.
       policies: names of the known policies, or None to accept any.
-      pause: function to call between nodes; others may run meanwhile.
+      pause: function to call between nodes; it may let other tasks run.
     Returns:
-      A tuple of settings.DocumentError, empty where the changes are accepted.
+      A tuple of settings.DocumentError, empty if the changes are valid.
     """
     errors = []
-    pause = pause or _no_pause
+    pause = pause or _do_not_pause
     if not changes:
         errors.append(
             settings.DocumentError(
-                path="/", problem="no change", allowed="at least one"
+                path="/", problem="no changes", allowed="at least one change"
             )
         )
     for change in changes:
@@ -53,21 +53,21 @@
                         allowed="settings that a service can be built from",
                     )
                 )
-    prefixes = tuple(f"{path.rstrip('/')}/" for path in paths)
-    matches = {
+    changed_prefixes = tuple(f"{path.rstrip('/')}/" for path in paths)
+    other_matches = {
         key: path
         for path, service in replica.services.items()
-        if not f"{path}/".startswith(prefixes)
+        if not f"{path}/".startswith(changed_prefixes)
         for _, key in settings.match_keys(service.match)
     }
     for error in settings.check_rules(
-        root=tree, policies=policies, matches=matches, pause=pause
+        root=tree, policies=policies, matches=other_matches, pause=pause
     ):
         errors.append(settings.locate_error(error=error, anchors=()))
     return tuple(errors)
 
 
-def _no_pause():
+def _do_not_pause():
     pass
 
 
@@ -77,21 +77,21 @@
 
 def _check_path(change):
     names = settings.split_path(change.path)
-    fits = (
+    is_valid = (
         change.path.startswith("/")
         and len(names) <= settings.MAX_TREE_LEVELS
-        and all(_NAME.fullmatch(name) for name in names)
+        and all(_NAME_PATTERN.fullmatch(name) for name in names)
     )
-    if not fits:
+    if not is_valid:
         yield settings.DocumentError(
             path=change.path[:200],
-            problem="bad path",
+            problem="invalid path",
             allowed=f"at most {settings.MAX_TREE_LEVELS} names like "
-            f"{_NAME.pattern}",
+            f"{_NAME_PATTERN.pattern}",
         )
     if change.WhichOneof("action") is None:
         yield settings.DocumentError(
             path=change.path[:200],
-            problem="no action",
+            problem="missing action",
             allowed="node, settings or remove",
         )
--- a/wigeonrouter/configuration/_checking_test.py
+++ b/wigeonrouter/configuration/_checking_test.py
@@ -1,4 +1,7 @@
-"""Guards against accepted changes that contradict the rest of the tree."""
+"""Tests of the validation of changes, rollbacks and forks.
+
+Guards against accepted changes that conflict with the rest of the tree.
+"""
 
 import pytest
 
@@ -27,7 +30,7 @@
 
 @pytest.fixture
 def replica():
-    """A replica with one service of each kind of match."""
+    """A replica with one service per kind of match."""
     replica = configuration.Replica()
     replica.apply_entries(
         [
@@ -102,12 +105,14 @@
             "/x $.settings.limits.default_timeout_ms",
             "5000 is above max_timeout_ms",
         ),
-        ("x", _service(), "x", "bad path"),
-        ("/x/../y", _service(), "/x/../y", "bad path"),
-        ("/x" * 65, _service(), "/x" * 65, "bad path"),
+        ("x", _service(), "x", "invalid path"),
+        ("/x/../y", _service(), "/x/../y", "invalid path"),
+        ("/x" * 65, _service(), "/x" * 65, "invalid path"),
     ],
 )
-def test_a_contradiction_is_found(replica, path, node, path_at_fault, problem):
+def test_a_conflict_with_the_tree_is_reported(
+    replica, path, node, path_at_fault, problem
+):
     errors = configuration.check_changes(
         replica=replica,
         changes=(_change(path, node),),
@@ -117,7 +122,7 @@
     assert problem in errors[0].problem
 
 
-def test_a_parent_that_spoils_an_inheriting_service_is_refused(replica):
+def test_an_invalid_setting_inherited_from_a_parent_is_rejected(replica):
     settings = settings_pb2.Settings()
     settings.routing.policy = "guess"
     errors = configuration.check_changes(
@@ -125,7 +130,7 @@
         changes=(settings_pb2.Change(path="/t", settings=settings),),
         policies=("free_slot",),
     )
-    # One error at the node that sets the policy, not one per service.
+    # One error for the node that sets the policy, not one per service.
     assert [error.path for error in errors] == ["/t $.settings.routing.policy"]
     own = _change("/t/own", _service(header="own", policy="guess"))
     errors = configuration.check_changes(
@@ -160,7 +165,7 @@
     assert replica.snapshot() == before
 
 
-def test_an_older_node_can_be_read_until_its_revision_is_forgotten():
+def test_an_older_node_can_be_read_while_its_revision_is_retained():
     replica = configuration.Replica(retained=3)
     steps = [
         _change("/a/b", _service(header="one")),
--- a/wigeonrouter/configuration/_faults_test.py
+++ b/wigeonrouter/configuration/_faults_test.py
@@ -1,4 +1,8 @@
-"""Guards against forks, reverts and losses while store and daemons fail."""
+"""Tests of acceptance and replication under faults.
+
+Guards against forks, reverts and lost changes while the store and daemons
+fail.
+"""
 
 from hypothesis import settings as hypothesis_settings
 from hypothesis import stateful
@@ -18,10 +22,10 @@
 
 
 class FaultyStore:
-    """A store with versions per key whose next calls can be disturbed.
+    """An in-memory store with fault injection.
 
-    Versions per key are the hardest case: a version read from one slot may
-    also be valid for another one.
+    Versions are counted per key, which is the hardest case: a version that
+    was read from one slot may also be the current one of another slot.
     """
 
     def __init__(self):
@@ -92,7 +96,7 @@
 
 def proposal(change_id, *, path="/a", base=0, queue=1):
     change = settings_pb2.Change(path=path)
-    # A change of a parent's settings keeps its children.
+    # A change of a parent's settings leaves its children in place.
     changed = change.settings if path == "/a" else change.node.settings
     if path == "/a":
         changed.limits.max_body_bytes = queue
@@ -107,22 +111,22 @@
     )
 
 
-def accept(store, replica, wanted, **more):
+def accept(store, replica, requested, **more):
     return configuration.accept(
-        store=store, replica=replica, proposal=wanted, now_ms=0, **more
+        store=store, replica=replica, proposal=requested, now_ms=0, **more
     )
 
 
 @pytest.fixture
 def small_log(monkeypatch):
-    """A ring of 16 slots, so that tests go round it often."""
+    """Reduces the log to 16 slots, so that it wraps around often."""
     monkeypatch.setattr(_acceptance, "LOG_SLOTS", 16)
-    monkeypatch.setattr(_acceptance, "MAX_UNSNAPSHOTTED", 12)
-    monkeypatch.setattr(_snapshots, "SNAPSHOT_INTERVAL", 4)
+    monkeypatch.setattr(_acceptance, "MAX_REVISIONS_SINCE_SNAPSHOT", 12)
+    monkeypatch.setattr(_snapshots, "SNAPSHOT_INTERVAL_REVISIONS", 4)
 
 
 class AcceptanceMachine(stateful.RuleBasedStateMachine):
-    """Several daemons accept changes while everything around them fails."""
+    """Several daemons accept changes while store, network and daemons fail."""
 
     def __init__(self):
         super().__init__()
@@ -130,11 +134,11 @@
         self.replicas = [
             configuration.Replica(retained=6) for _ in range(_REPLICAS)
         ]
-        self.served = [0] * _REPLICAS
-        # What each change id became, and the entry of each revision.
+        self.served_revisions = [0] * _REPLICAS
+        # Result per change id, and log entry per revision.
         self.acknowledged = {}
         self.undetermined = set()
-        self.refused = set()
+        self.rejected = set()
         self.log = {}
         self.number = 0
 
@@ -161,14 +165,14 @@
         second=numbers,
         path=strategies.sampled_from(_PATHS),
         reads=strategies.integers(0, 3),
-        tell=strategies.booleans(),
+        push=strategies.booleans(),
     )
-    def race(self, first, second, path, reads, tell):
-        """The second daemon writes between the first one's calls."""
+    def race_between_calls(self, first, second, path, reads, push):
+        """Let a second daemon write between the store calls of the first."""
 
         def interfere():
             self._accept(second, path, 0)
-            if tell:
+            if push:
                 self._copy(second, first)
 
         self.store.after_gets = [None] * reads + [interfere]
@@ -181,7 +185,7 @@
             self._resolve(number, change_id)
 
     @stateful.rule(number=numbers)
-    def read_store(self, number):
+    def catch_up_from_store(self, number):
         try:
             configuration.catch_up(
                 store=self.store, replica=self.replicas[number]
@@ -204,7 +208,7 @@
 
     @stateful.rule(source=numbers, receiver=numbers, count=numbers)
     def deliver_out_of_order(self, source, receiver, count):
-        """Entries and snapshots may arrive early, late or twice."""
+        """Deliver entries and snapshots early, late or twice."""
         source, receiver = self.replicas[source], self.replicas[receiver]
         receiver.apply_entries(source.history()[-count:])
         if count == 0:
@@ -212,11 +216,11 @@
 
     @stateful.rule(number=numbers)
     def replace(self, number):
-        """A new daemon asks the store, or all peers while it is down."""
+        """Replace a daemon by one that reads the store, or else all peers."""
         new = configuration.Replica(retained=6)
         old = self.replicas[number]
         self.replicas[number] = new
-        self.served[number] = 0
+        self.served_revisions[number] = 0
         try:
             configuration.catch_up(store=self.store, replica=new)
         except store_api.StoreError:
@@ -226,18 +230,18 @@
         assert new.revision >= max(peers), (new.revision, old.revision)
 
     @stateful.rule(down=strategies.booleans())
-    def change_store(self, down):
+    def set_store_down(self, down):
         self.store.down = down
 
     @stateful.rule()
-    def deliver(self):
+    def deliver_delayed_writes(self):
         self.store.deliver_delayed()
 
     @stateful.invariant()
     def never_reverts_and_never_forks(self):
         for number, replica in enumerate(self.replicas):
-            assert replica.revision >= self.served[number]
-            self.served[number] = replica.revision
+            assert replica.revision >= self.served_revisions[number]
+            self.served_revisions[number] = replica.revision
             for entry in replica.history():
                 known = self.log.setdefault(entry.revision, entry)
                 assert known == entry
@@ -256,7 +260,7 @@
         for change_id, revision in self.acknowledged.items():
             if revision in self.log:
                 assert self.log[revision].change_id == change_id
-        assert not self.refused & set(ids)
+        assert not self.rejected & set(ids)
         first = self.replicas[0]
         for other in self.replicas[1:]:
             assert other.revision == first.revision
@@ -266,7 +270,7 @@
     def _accept(self, number, path, lag):
         self.number += 1
         base = max(0, self.replicas[number].revision - lag)
-        self._note(
+        self._propose(
             proposal(
                 f"change-{self.number}",
                 path=path,
@@ -277,12 +281,12 @@
         )
 
     def _resolve(self, number, change_id):
-        """Repeat a change id; it either took effect or is now refused."""
-        self._note(proposal(change_id, path="/a", base=0), number)
+        """Repeat a change id, which either took effect or is now rejected."""
+        self._propose(proposal(change_id, path="/a", base=0), number)
 
-    def _note(self, wanted, number):
-        accepted = accept(self.store, self.replicas[number], wanted)
-        name = wanted.change_id
+    def _propose(self, requested, number):
+        accepted = accept(self.store, self.replicas[number], requested)
+        name = requested.change_id
         if pipeline.is_successful(accepted):
             self.undetermined.discard(name)
             revision = accepted.unwrap().revision
@@ -290,7 +294,7 @@
         elif isinstance(accepted.failure(), configuration.Undetermined):
             self.undetermined.add(name)
         elif name not in self.undetermined:
-            self.refused.add(name)
+            self.rejected.add(name)
 
     def _copy(self, source, target):
         source, target = self.replicas[source], self.replicas[target]
@@ -322,14 +326,14 @@
         (["delay"], "accepted", True),
         (["lose", "lose"], "accepted", True),
         (["refuse"], "store-down", False),
-        # The first write may still arrive: claiming that nothing was
-        # written would be wrong.
+        # The delayed write may still take effect, so StoreDown, which
+        # promises that nothing was written, would be wrong.
         (["delay", "refuse"], "undetermined", True),
         (["outage"], "undetermined", True),
         (["drop"] * 100, "undetermined", False),
     ],
 )
-def test_each_fault_of_a_write_has_its_outcome(faults, outcome, written):
+def test_each_write_fault_has_the_expected_outcome(faults, outcome, written):
     store, replica = FaultyStore(), configuration.Replica()
     store.faults = list(faults)
     accepted = accept(store, replica, proposal("one"))
@@ -343,17 +347,17 @@
         assert isinstance(accepted.failure(), failure)
     store.down = False
     store.deliver_delayed()
-    late = configuration.Replica()
-    configuration.catch_up(store=store, replica=late)
-    assert late.revision == int(written)
+    late_reader = configuration.Replica()
+    configuration.catch_up(store=store, replica=late_reader)
+    assert late_reader.revision == int(written)
 
 
-def test_a_full_log_refuses_changes_until_a_snapshot_is_written(small_log):
+def test_a_full_log_rejects_changes_until_a_snapshot_is_written(small_log):
     store, replica = FaultyStore(), configuration.Replica()
     for number in range(12):
         assert accept(store, replica, proposal(f"{number}", base=number))
-    refused = accept(store, replica, proposal("more", base=12))
-    assert isinstance(refused.failure(), configuration.StoreDown)
+    rejected = accept(store, replica, proposal("more", base=12))
+    assert isinstance(rejected.failure(), configuration.StoreDown)
     assert configuration.write_snapshot_if_due(store=store, replica=replica)
     assert accept(store, replica, proposal("more", base=12)).unwrap()
 
@@ -371,7 +375,7 @@
     assert lagging.root == replica.root
     chunks = [key for key in store.items if key.startswith("config/snap")]
     live = [key for key in chunks if store.items[key][0] is not None]
-    assert len(live) == 2, "chunks of old snapshots must be deleted"
+    assert len(live) == 2, "chunks of old snapshots were not deleted"
 
 
 def test_a_change_id_is_recognised_after_a_snapshot(small_log):
--- a/wigeonrouter/configuration/_replica.py
+++ b/wigeonrouter/configuration/_replica.py
@@ -1,7 +1,7 @@
-"""One daemon's copy of the configuration.
+"""One daemon's replica of the configuration.
 
-The replica owns the tree and the newest log entries. It takes revision N+1
-only after N, so what it serves never reverts.
+The replica owns the tree and the newest log entries. It applies revision N+1
+only after revision N, so that it never serves an older revision again.
 """
 
 from gevent import lock
@@ -11,37 +11,39 @@
 from wigeonrouter.configuration import _retained
 from wigeonrouter.schema import settings_pb2
 
-# About 4 ms of processor time.
-PAUSE_SERVICES = 16
+# Number of services that are built between two pauses; takes about 4 ms of
+# processor time.
+SERVICES_PER_PAUSE = 16
 
 
 class ForkError(store_api.StoreError):
-    """Two entries with one revision differ, which acceptance rules out.
+    """Two different entries have the same revision.
 
-    The store contradicts itself or a peer; neither can be followed.
+    Acceptance by compare-and-swap rules this out, so the store contradicts
+    itself or a peer, and neither entry can be trusted.
     """
 
 
 class Replica:
-    """Holds the tree at one revision and the services built from it."""
+    """The tree at one revision and the services that are built from it."""
 
-    def __init__(self, *, retained=_retained.RETAINED_ENTRIES, pause=None):
+    def __init__(self, *, retained=_retained.MAX_RETAINED_ENTRIES, pause=None):
         """Start with an empty tree.
 
         Args:
           retained: number of entries to keep.
-          pause: function to call between services while many are built. A
-            change of the root's settings at the target size would otherwise
-            stop a daemon for half a second. Readers get the old revision
-            and services until all are built.
+          pause: function that lets other tasks run, called regularly while
+            services are built. At the target size a change of the root's
+            settings would otherwise block a daemon for half a second.
+            Readers get the old revision and services until all are built.
         """
         self._pause = pause
-        # Held while a change is applied, since the pauses let others run.
+        # Held while a change is applied, because other tasks run in pauses.
         self._lock = lock.RLock()
         self._revision = 0
         self._root = settings_pb2.Node()
         self._services = {}
-        self._log = _retained.RetainedLog(limit=retained)
+        self._log = _retained.RetainedLog(max_entries=retained)
         self._listeners = []
         self._snapshot_revision = 0
 
@@ -57,9 +59,10 @@
 
     @property
     def services(self):
-        """Dict from path to core.EffectiveService; replaced by changes.
+        """Dict from path to core.EffectiveService.
 
-        A service that a change does not alter keeps its record.
+        Each change replaces the dict. A service that the change does not
+        affect keeps its object.
         """
         return self._services
 
@@ -68,8 +71,8 @@
         """Revision of the newest snapshot known to be in the store."""
         return self._snapshot_revision
 
-    def note_snapshot(self, revision):
-        """Note that the store holds a snapshot."""
+    def record_snapshot(self, revision):
+        """Record that the store holds a snapshot of a revision."""
         self._snapshot_revision = max(self._snapshot_revision, revision)
 
     def subscribe(self, listener):
@@ -79,16 +82,16 @@
     def apply_entries(self, entries):
         """Apply log entries in ascending order.
 
-        Entries that are already applied are skipped; the first gap ends the
-        run, since a later entry may depend on the missing one.
+        Entries that were applied before are skipped. The first gap ends the
+        call, because later entries may depend on the missing one.
 
         Args:
           entries: an iterable of settings_pb2.LogEntry.
         Returns:
           The list of entries that were applied.
         Raises:
-          ForkError: an applied entry of the same revision differs; nothing
-            after it is applied.
+          ForkError: an entry differs from the applied one of the same
+            revision; it and the entries after it are not applied.
         """
         with self._lock:
             revision, applied = self._revision, []
@@ -115,7 +118,7 @@
         return applied
 
     def load_snapshot(self, snapshot):
-        """Replace the tree by a newer one.
+        """Replace the tree by that of a newer settings_pb2.Snapshot.
 
         Returns:
           Whether the snapshot was newer than the replica.
@@ -138,13 +141,13 @@
             )
 
     def entries_after(self, revision):
-        """Return the entries after a revision.
+        """Return the log entries after a revision.
 
         Returns:
           A tuple of settings_pb2.LogEntry, or None where the oldest of them
           is no longer retained.
         """
-        return self._log.after(revision, newest=self._revision)
+        return self._log.entries_after(revision, newest=self._revision)
 
     def history(self):
         """Return the retained entries, oldest first."""
@@ -163,8 +166,8 @@
 
         Returns:
           A pair (retained, node): whether the revision can still be
-          restored, and a copy of the settings_pb2.Node, or None where there
-          was none.
+          restored, and a copy of the settings_pb2.Node, or None if the path
+          did not exist.
         """
         with self._lock:
             tree = self._log.tree_at(
@@ -184,29 +187,35 @@
         self._log.add(entry, undo)
 
     def _check_fork(self, entry):
-        known = self._log.find(entry.revision)
-        if known is not None and known.change_id != entry.change_id:
+        known_entry = self._log.find(entry.revision)
+        if (
+            known_entry is not None
+            and known_entry.change_id != entry.change_id
+        ):
             raise ForkError(
-                f"revision {entry.revision} is {known.change_id} here and "
-                f"{entry.change_id} elsewhere"
+                f"revision {entry.revision} holds change "
+                f"{known_entry.change_id} in this replica and "
+                f"{entry.change_id} in a received entry"
             )
 
     def _rebuild(self, revision, paths):
-        """Build the services at and below the changed paths for a revision.
+        """Rebuild the services at and below changed paths for a revision.
 
-        Settings are inherited downwards only, so no other service changes.
+        Settings are inherited from parent to child only, so no other service
+        changes.
         """
-        old = self._services
-        # "" stands for the root, of which every path is a continuation.
+        old_services = self._services
+        # The root becomes "", which is a prefix of every path.
         paths = {
             settings.join_path(settings.split_path(path)).rstrip("/")
             for path in paths
         }
-        bases = tuple(paths)
-        services = dict(old)
-        for path in old:
-            if path.startswith(bases) and any(
-                f"{path}/".startswith(f"{base}/") for base in bases
+        changed_prefixes = tuple(paths)
+        services = dict(old_services)
+        for path in old_services:
+            if path.startswith(changed_prefixes) and any(
+                f"{path}/".startswith(f"{changed_prefix}/")
+                for changed_prefix in changed_prefixes
             ):
                 del services[path]
         built = 0
@@ -215,10 +224,12 @@
                 if path in services:
                     continue
                 service = settings.build_service(root=self._root, path=path)
-                known = old.get(path)
-                services[path] = known if known == service else service
+                old_service = old_services.get(path)
+                services[path] = (
+                    old_service if old_service == service else service
+                )
                 built += 1
-                if self._pause is not None and built % PAUSE_SERVICES == 0:
+                if self._pause is not None and built % SERVICES_PER_PAUSE == 0:
                     self._pause()
         self._services = services
         self._revision = revision
--- a/wigeonrouter/configuration/_replica_test.py
+++ b/wigeonrouter/configuration/_replica_test.py
@@ -1,4 +1,7 @@
-"""Guards against mixed revisions and stalls while a replica changes."""
+"""Tests of a replica that pauses while it builds services.
+
+Guards against readers that see a mix of revisions, and against stalls.
+"""
 
 import gevent
 import pytest
@@ -8,7 +11,7 @@
 from wigeonrouter.configuration import _replica
 from wigeonrouter.schema import settings_pb2
 
-_SERVICES = 5 * _replica.PAUSE_SERVICES
+_SERVICES = 5 * _replica.SERVICES_PER_PAUSE
 
 
 def _entry(revision, queue):
@@ -50,14 +53,14 @@
     assert (replica.revision, _queues(replica)) == (3, {30})
 
 
-def test_changes_that_arrive_while_services_are_built_wait():
-    """Each would otherwise change the tree that the other one reads."""
-    heard = []
+def test_changes_wait_while_services_are_built():
+    """Without a lock they would modify the tree that is being read."""
+    notified = []
     replica = configuration.Replica(pause=lambda: gevent.sleep(0))
-    replica.subscribe(lambda r: heard.append((r.revision, _queues(r))))
+    replica.subscribe(lambda r: notified.append((r.revision, _queues(r))))
     entries = [_entry(1, 0)] + [_entry(n, n) for n in range(2, 7)]
     replica.apply_entries(entries[:1])
-    heard.clear()
+    notified.clear()
     tasks = [
         gevent.spawn(replica.apply_entries, entries[: count + 1])
         for count in range(1, 6)
@@ -65,7 +68,7 @@
     gevent.sleep(0)
     snapshot = replica.snapshot()
     gevent.joinall(tasks, raise_error=True)
-    assert heard == [(n, {n}) for n in range(2, 7)]
+    assert notified == [(n, {n}) for n in range(2, 7)]
     assert replica.services == settings.build_services(replica.root)
     copy = configuration.Replica()
     copy.load_snapshot(snapshot)
@@ -73,8 +76,8 @@
     assert _queues(copy) == {expected if expected > 1 else 256}
 
 
-def test_a_check_during_which_the_replica_advanced_is_repeated(store):
-    """The slot that was read before belongs to an older revision."""
+def test_a_validation_is_repeated_if_the_replica_advanced(store):
+    """The slot that was read first belongs to an older revision by then."""
     replica, peer = configuration.Replica(), configuration.Replica()
     changes = _entry(1, 0).changes
 
@@ -97,6 +100,6 @@
             propose("first", peer)
             replica.apply_entries(peer.history())
 
-    refused = propose("second", replica, pause=interfere)
-    assert isinstance(refused.failure(), configuration.Conflict)
-    assert refused.failure().current_revision == 1
+    rejected = propose("second", replica, pause=interfere)
+    assert isinstance(rejected.failure(), configuration.Conflict)
+    assert rejected.failure().current_revision == 1
--- a/wigeonrouter/configuration/_retained.py
+++ b/wigeonrouter/configuration/_retained.py
@@ -1,4 +1,4 @@
-"""The newest log entries, and what is needed to take them back."""
+"""The newest log entries, with the changes that undo them."""
 
 import collections
 import dataclasses
@@ -6,37 +6,40 @@
 from wigeonrouter import settings
 from wigeonrouter.schema import settings_pb2
 
-# Peers and operators get older revisions as a snapshot only.
-RETAINED_ENTRIES = 1024
-# One entry may hold 1 MB, and control may use 128 MB in all.
-RETAINED_BYTES = 16 << 20
+# Older entries are not available to peers and operators, only a snapshot is.
+MAX_RETAINED_ENTRIES = 1024
+# One entry may take 1 MB, and the control process may use 128 MB in total.
+MAX_RETAINED_BYTES = 16 << 20
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _Retained:
     entry: settings_pb2.LogEntry
     undo: tuple
-    size: int
+    byte_count: int
 
 
 class RetainedLog:
-    """Holds consecutive entries up to the newest revision.
+    """A bounded log of consecutive entries up to the newest revision.
 
-    The ids of changes outlive their entries and come with snapshots: an
-    operator may repeat a change id after the entry was forgotten.
+    Change ids are kept for longer than their entries and are part of
+    snapshots, because an operator may repeat a change id after its entry was
+    discarded.
     """
 
-    def __init__(self, *, limit=RETAINED_ENTRIES, max_bytes=RETAINED_BYTES):
-        self._limit = limit
+    def __init__(
+        self, *, max_entries=MAX_RETAINED_ENTRIES, max_bytes=MAX_RETAINED_BYTES
+    ):
+        self._max_entries = max_entries
         self._max_bytes = max_bytes
-        self._size = 0
+        self._total_bytes = 0
         self._entries = collections.OrderedDict()
         self._applied = collections.OrderedDict()
 
     @property
     def entries(self):
         """Tuple of the entries, oldest first."""
-        return tuple(kept.entry for kept in self._entries.values())
+        return tuple(retained.entry for retained in self._entries.values())
 
     @property
     def applied(self):
@@ -47,31 +50,39 @@
         ]
 
     def add(self, entry, undo):
-        """Add the next entry with the changes that take it back."""
-        size = entry.ByteSize() + sum(change.ByteSize() for change in undo)
+        """Append the next entry and discard the oldest beyond the limits.
+
+        Args:
+          entry: settings_pb2.LogEntry.
+          undo: iterable of settings_pb2.Change that undo the entry.
+        """
+        byte_count = entry.ByteSize() + sum(
+            change.ByteSize() for change in undo
+        )
         self._entries[entry.revision] = _Retained(
-            entry=entry, undo=tuple(undo), size=size
+            entry=entry, undo=tuple(undo), byte_count=byte_count
         )
-        self._size += size
+        self._total_bytes += byte_count
         while len(self._entries) > 1 and (
-            len(self._entries) > self._limit or self._size > self._max_bytes
+            len(self._entries) > self._max_entries
+            or self._total_bytes > self._max_bytes
         ):
             _, oldest = self._entries.popitem(last=False)
-            self._size -= oldest.size
-        self._note(entry.change_id, entry.revision)
+            self._total_bytes -= oldest.byte_count
+        self._record_change_id(entry.change_id, entry.revision)
 
     def reset(self, applied):
-        """Forget all entries, since a snapshot replaced the tree.
+        """Discard all entries, after a snapshot has replaced the tree.
 
         Args:
           applied: iterable of settings_pb2.AppliedChange from the snapshot.
         """
         self._entries.clear()
-        self._size = 0
+        self._total_bytes = 0
         for change in applied:
-            self._note(change.change_id, change.revision)
+            self._record_change_id(change.change_id, change.revision)
 
-    def after(self, revision, *, newest):
+    def entries_after(self, revision, *, newest):
         """Return the entries after a revision, or None; see Replica."""
         if revision >= newest:
             return ()
@@ -84,8 +95,8 @@
 
     def find(self, revision):
         """Return the retained entry of a revision, or None."""
-        kept = self._entries.get(revision)
-        return kept.entry if kept else None
+        retained = self._entries.get(revision)
+        return retained.entry if retained else None
 
     def find_change(self, change_id):
         """Return the entry of a change id, or None.
@@ -101,20 +112,29 @@
         )
 
     def tree_at(self, revision, *, root, newest):
-        """Return a copy of the tree as of a retained revision, or None."""
+        """Return a copy of the tree at an older revision.
+
+        Args:
+          revision: the wanted revision.
+          root: settings_pb2.Node, the tree at the newest revision.
+          newest: the newest revision.
+        Returns:
+          settings_pb2.Node, or None where the entries after the revision are
+          not all retained.
+        """
         if revision > newest or (
             revision < newest and revision + 1 not in self._entries
         ):
             return None
-        tree = settings_pb2.Node()
-        tree.CopyFrom(root)
+        restored = settings_pb2.Node()
+        restored.CopyFrom(root)
         for number in range(newest, revision, -1):
             settings.apply_in_place(
-                root=tree, changes=self._entries[number].undo
+                root=restored, changes=self._entries[number].undo
             )
-        return tree
+        return restored
 
-    def _note(self, change_id, revision):
+    def _record_change_id(self, change_id, revision):
         self._applied[change_id] = revision
-        while len(self._applied) > self._limit:
+        while len(self._applied) > self._max_entries:
             self._applied.popitem(last=False)
--- a/wigeonrouter/configuration/_snapshots.py
+++ b/wigeonrouter/configuration/_snapshots.py
@@ -1,7 +1,8 @@
-"""Writes and reads snapshots of the tree in the store.
+"""Snapshots of the configuration tree in the store.
 
-Chunks stay below the store's value limit. The pointer moves only forwards,
-so that two writers at once do no harm.
+A snapshot is split into chunks, each below the store's value size limit. A
+pointer names the newest snapshot. It is updated by compare-and-swap and only
+moves forward, so that concurrent writers are safe.
 """
 
 import dataclasses
@@ -13,16 +14,25 @@
 from wigeonrouter.schema import settings_pb2
 
 POINTER_KEY = "config/snapshot"
-SNAPSHOT_INTERVAL = 1000
+# Number of revisions between snapshots.
+SNAPSHOT_INTERVAL_REVISIONS = 1000
 CHUNK_BYTES = 900_000
 _CHUNK_PREFIX = "config/snapshot/"
-# A newer snapshot may replace the one that is being read.
+# Retries, because a newer snapshot may replace the one that is being read.
 _LOAD_ATTEMPTS = 3
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Pointer:
-    """Newest snapshot and the version of the pointer's key."""
+    """The newest snapshot in the store.
+
+    Attributes:
+      revision: revision of the snapshot, 0 for no snapshot.
+      chunks: number of chunks.
+      tag: random text that separates the chunks of concurrent writers.
+      digest: 64-bit hash of the serialized snapshot.
+      version: store version of the pointer's key, for compare-and-swap.
+    """
 
     revision: int = 0
     chunks: int = 0
@@ -36,7 +46,7 @@
 
 
 def read_pointer(store):
-    """Return the Pointer; revision 0 stands for "no snapshot"."""
+    """Read the Pointer from the store; revision 0 means no snapshot."""
     item = store.get(POINTER_KEY)
     if item is None:
         return Pointer()
@@ -55,87 +65,94 @@
 
     Returns:
       Whether the replica advanced.
+    Raises:
+      StoreError: the store could not be read.
     """
     for _ in range(_LOAD_ATTEMPTS):
         pointer = read_pointer(store)
-        replica.note_snapshot(pointer.revision)
+        replica.record_snapshot(pointer.revision)
         if pointer.revision <= replica.revision:
             return False
-        snapshot = _read(store, pointer)
+        snapshot = _read_chunks(store, pointer)
         if snapshot is not None:
             return replica.load_snapshot(snapshot)
     return False
 
 
 def is_due(replica):
-    """Return whether a snapshot should be written as far as is known."""
-    return replica.revision - replica.snapshot_revision >= SNAPSHOT_INTERVAL
+    """Return whether the known snapshot is too old; the store is not read."""
+    return (
+        replica.revision - replica.snapshot_revision
+        >= SNAPSHOT_INTERVAL_REVISIONS
+    )
 
 
 def write_if_due(*, store, replica):
-    """Write a snapshot where the newest is SNAPSHOT_INTERVAL behind.
+    """Write a snapshot if the newest is SNAPSHOT_INTERVAL_REVISIONS behind.
 
     Returns:
       Whether this call moved the pointer.
     Raises:
-      StoreError: a call failed; the pointer may have moved.
+      StoreError: a call to the store failed; the pointer may have moved.
     """
-    old = read_pointer(store)
-    replica.note_snapshot(old.revision)
+    old_pointer = read_pointer(store)
+    replica.record_snapshot(old_pointer.revision)
     if not is_due(replica):
         return False
     snapshot = replica.snapshot()
-    data = snapshot.SerializeToString()
+    serialized = snapshot.SerializeToString()
     chunks = [
-        data[start : start + CHUNK_BYTES]
-        for start in range(0, len(data), CHUNK_BYTES)
+        serialized[start : start + CHUNK_BYTES]
+        for start in range(0, len(serialized), CHUNK_BYTES)
     ]
-    new = Pointer(
+    new_pointer = Pointer(
         revision=snapshot.revision,
         chunks=len(chunks),
         tag=uuid.uuid4().hex[:12],
-        digest=xxhash.xxh3_64_intdigest(data),
+        digest=xxhash.xxh3_64_intdigest(serialized),
     )
     for index, chunk in enumerate(chunks):
         store.compare_and_swap(
-            key=new.chunk_key(index), expected_version=0, value=chunk
+            key=new_pointer.chunk_key(index), expected_version=0, value=chunk
         )
     moved = store.compare_and_swap(
         key=POINTER_KEY,
-        expected_version=old.version,
+        expected_version=old_pointer.version,
         value=settings_pb2.SnapshotPointer(
-            revision=new.revision,
-            chunks=new.chunks,
-            tag=new.tag,
-            digest=new.digest,
+            revision=new_pointer.revision,
+            chunks=new_pointer.chunks,
+            tag=new_pointer.tag,
+            digest=new_pointer.digest,
         ).SerializeToString(),
     )
     if moved:
-        replica.note_snapshot(new.revision)
+        replica.record_snapshot(new_pointer.revision)
     _delete_unused(store)
     return moved
 
 
-def _read(store, pointer):
-    parts = []
+def _read_chunks(store, pointer):
+    """Return the settings_pb2.Snapshot, or None if incomplete or corrupt."""
+    values = []
     for index in range(pointer.chunks):
         item = store.get(pointer.chunk_key(index))
         if item is None:
             return None
-        parts.append(item.value)
-    data = b"".join(parts)
-    if xxhash.xxh3_64_intdigest(data) != pointer.digest:
+        values.append(item.value)
+    serialized = b"".join(values)
+    if xxhash.xxh3_64_intdigest(serialized) != pointer.digest:
         return None
     try:
-        return settings_pb2.Snapshot.FromString(data)
+        return settings_pb2.Snapshot.FromString(serialized)
     except protobuf_message.DecodeError:
         return None
 
 
 def _delete_unused(store):
-    """Delete the chunks of older snapshots and of writers that lost.
+    """Delete chunks of older snapshots and of writers that lost the race.
 
-    A writer of a newer snapshot may still be at work, so its chunks stay.
+    Chunks of a newer snapshot stay, since its writer may not have moved the
+    pointer yet.
     """
     pointer = read_pointer(store)
     for item in store.list(_CHUNK_PREFIX):
