--- a/wigeonrouter/bench/_policy_run.py
+++ b/wigeonrouter/bench/_policy_run.py
@@ -272,7 +272,7 @@
 
     def _delivered(self, result):
         self._ticket = None
-        if isinstance(result, core.Refusal):
+        if isinstance(result, core.Problem):
             self._end("refused")
             return
         state = {"open": True}
@@ -305,7 +305,7 @@
             return
         again = request_path.may_retry(
             kind=self._daemon.run.kind,
-            refusal=core.Refusal(problem=core.problems.REFUSED_BY_SERVER),
+            refusal=core.Problem(problem=core.problems.REFUSED_BY_SERVER),
             attempt=self._attempts,
             max_attempts=self._daemon.service.retries.max_attempts,
             now=self._loop.now,
--- a/wigeonrouter/core/_problems.py
+++ b/wigeonrouter/core/_problems.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Refusal:
+class Problem:
     """A problem that occurred."""
 
     problem: ProblemType
--- a/wigeonrouter/core/_records.py
+++ b/wigeonrouter/core/_records.py
@@ -112,7 +112,7 @@
       latency: moving average of the time to answer, seconds.
       failure_ratio: moving average of failed attempts, 0 to 1.
       limit: adaptive bound on in-flight requests.
-      answers: answers received since the server became ready or cold.
+      responses: responses received since the server became ready or cold.
       ready_since: time since which it may get work, seconds.
       last_used: time of the last request sent to it, seconds.
       failures_in_row: failed attempts since the last good answer.
@@ -130,7 +130,7 @@
     latency: float = 0.0
     failure_ratio: float = 0.0
     limit: float = 2
-    answers: int = 0
+    responses: int = 0
     ready_since: float = 0.0
     last_used: float = 0.0
     failures_in_row: int = 0
--- a/wigeonrouter/daemon/_daemon.py
+++ b/wigeonrouter/daemon/_daemon.py
@@ -227,13 +227,13 @@
         self._store.close()
         _log.info("stopped")
 
-    def reload(self, wanted):
+    def reload(self, requested):
         """Take over what a running daemon can change.
 
         Args:
-          wanted: settings.DaemonSettings from the changed file.
+          requested: settings.DaemonSettings from the changed file.
         """
-        plan = _reload.plan_reload(current=self._settings, wanted=wanted)
+        plan = _reload.plan_reload(current=self._settings, requested=requested)
         if self._tls is not None:
             try:
                 self._tls.load(**_reload.tls_files(plan.settings))
@@ -259,10 +259,10 @@
         _log.info(
             "settings reloaded", extra={"changed": ",".join(plan.changed)}
         )
-        if plan.kept:
+        if plan.restart_required:
             _log.warning(
                 "settings need a restart and were kept",
-                extra={"kept": ",".join(plan.kept)},
+                extra={"kept": ",".join(plan.restart_required)},
             )
 
     def expose_metrics(self):
--- a/wigeonrouter/daemon/_reload.py
+++ b/wigeonrouter/daemon/_reload.py
@@ -6,7 +6,7 @@
 
 # The others name addresses and places that peers and callers know, or were
 # used to open connections; they need a restart.
-CHANGEABLE = frozenset(
+RELOADABLE = frozenset(
     {
         "bootstrap_token_sha256",
         "entry_ttl",
@@ -18,20 +18,20 @@
         "tls_key_file",
     }
 )
-_TLS = frozenset(name for name in CHANGEABLE if name.startswith("tls_"))
+_TLS = frozenset(name for name in RELOADABLE if name.startswith("tls_"))
 
 
-def plan_reload(*, current, wanted):
-    """Compare two settings.DaemonSettings and return a core.Reload.
+def plan_reload(*, current, requested):
+    """Compare two settings.DaemonSettings and return a core.ReloadPlan.
 
     Whether peers use TLS at all is fixed at start, since the peer server's
     port either expects it or does not.
     """
-    changeable = CHANGEABLE
-    if bool(current.tls_key_file) != bool(wanted.tls_key_file):
-        changeable = changeable - _TLS
+    reloadable = RELOADABLE
+    if bool(current.tls_key_file) != bool(requested.tls_key_file):
+        reloadable = reloadable - _TLS
     return core.plan_reload(
-        current=current, wanted=wanted, changeable=changeable
+        current=current, requested=requested, reloadable=reloadable
     )
 
 
--- a/wigeonrouter/dispatch/_dispatcher.py
+++ b/wigeonrouter/dispatch/_dispatcher.py
@@ -101,7 +101,7 @@
         Args:
           request: core.DispatchRequest.
         Returns:
-          core.Grant, which must be released, or core.Refusal.
+          core.Grant, which must be released, or core.Problem.
         """
         now = self._clock()
         result = self._answer_at_once(request, now)
@@ -118,7 +118,7 @@
             # already when the timeout comes first.
             if waiter.ready():
                 return waiter.value
-            return core.Refusal(problem=core.problems.DEADLINE_PASSED)
+            return core.Problem(problem=core.problems.DEADLINE_PASSED)
         except BaseException:
             if waiter.ready() and isinstance(waiter.value, core.Grant):
                 self._return_unused(waiter.value)
@@ -131,10 +131,10 @@
 
         Args:
           request: core.DispatchRequest.
-          deliver: called once with a core.Grant or core.Refusal where the
+          deliver: called once with a core.Grant or core.Problem where the
             request has to wait, unless withdraw() comes first.
         Returns:
-          core.Grant, core.Refusal, or the Ticket of a waiting request.
+          core.Grant, core.Problem, or the Ticket of a waiting request.
         """
         now = self._clock()
         result = self._answer_at_once(request, now)
@@ -144,9 +144,9 @@
 
     def _answer_at_once(self, request, now):
         if request.deadline <= now:
-            return core.Refusal(problem=core.problems.DEADLINE_PASSED)
+            return core.Problem(problem=core.problems.DEADLINE_PASSED)
         if not self._servers.eligible:
-            return core.Refusal(problem=core.problems.NO_SERVER)
+            return core.Problem(problem=core.problems.NO_SERVER)
         if self._queue:
             return None
         return self._choose(request, now, self._candidates())
@@ -164,11 +164,11 @@
         if not limits.can_finish(
             remaining=request.deadline - now, wait=wait, hold=self._hold
         ):
-            return core.Refusal(problem=core.problems.DEADLINE_TOO_SHORT)
+            return core.Problem(problem=core.problems.DEADLINE_TOO_SHORT)
         if len(self._queue) >= self._service.limits.max_queue:
             displaced = self._queue.find_displaced(request.tenant)
             if displaced is None:
-                return core.Refusal(problem=core.problems.QUEUE_FULL)
+                return core.Problem(problem=core.problems.QUEUE_FULL)
             self._refuse_waiting(displaced, core.problems.QUEUE_FULL)
         handle = self._queue.push(
             tenant=request.tenant,
@@ -286,7 +286,7 @@
 
     def _refuse_waiting(self, handle, problem):
         self._queue.remove(handle)
-        handle.item[1](core.Refusal(problem=problem))
+        handle.item[1](core.Problem(problem=problem))
 
     def _schedule_pump(self):
         if self._timer is None:
--- a/wigeonrouter/health/_rules.py
+++ b/wigeonrouter/health/_rules.py
@@ -60,7 +60,7 @@
     if attempt.report is not None:
         changes["report"] = attempt.report
     if attempt.outcome is core.Outcome.OK:
-        changes["answers"] = view.answers + 1
+        changes["responses"] = view.responses + 1
         changes["latency"] = (
             _average(view.latency, attempt.latency, _LATENCY_WEIGHT)
             if view.latency
@@ -91,7 +91,7 @@
         return view
     if _is_outlier(view, attempt) and _may_eject(view, group, settings):
         return _eject(view, now)
-    if view.answers >= ANSWERS_TO_PROVE and (
+    if view.responses >= ANSWERS_TO_PROVE and (
         view.ejections or view.state is core.ServerState.COLD
     ):
         return dataclasses.replace(
@@ -115,7 +115,7 @@
     if view.state is core.ServerState.EJECTED and now >= view.ejected_until:
         if not view.refusals_in_row:
             return _make_cold(view, now)
-        proved = view.answers >= ANSWERS_TO_PROVE
+        proved = view.responses >= ANSWERS_TO_PROVE
         state = core.ServerState.READY if proved else core.ServerState.COLD
         return dataclasses.replace(view, state=state)
     if (
@@ -146,7 +146,7 @@
     if view.state is core.ServerState.EJECTED and healthy:
         view = _make_cold(view, now)
     if view.state is core.ServerState.COLD and healthy:
-        return dataclasses.replace(view, answers=view.answers + 1)
+        return dataclasses.replace(view, responses=view.responses + 1)
     return view
 
 
@@ -273,7 +273,7 @@
     return dataclasses.replace(
         view,
         state=core.ServerState.COLD,
-        answers=0,
+        responses=0,
         failures_in_row=0,
         refusals_in_row=0,
         failure_ratio=0.0,
@@ -286,7 +286,7 @@
     return (
         view.state is core.ServerState.COLD
         and view.ejections > 0
-        and not view.answers
+        and not view.responses
     )
 
 
--- a/wigeonrouter/http1/_render.py
+++ b/wigeonrouter/http1/_render.py
@@ -105,7 +105,7 @@
     """Return the RFC 9457 HttpResponse of a refusal.
 
     Args:
-      refusal: core.Refusal.
+      refusal: core.Problem.
       request_id: text.
       retry_budget: the retries that levels above may still make, or None.
     """
--- a/wigeonrouter/http1/_server.py
+++ b/wigeonrouter/http1/_server.py
@@ -104,7 +104,7 @@
             else:
                 self._refuse(
                     connection,
-                    core.Refusal(problem=core.problems.TOO_MANY_CONNECTIONS),
+                    core.Problem(problem=core.problems.TOO_MANY_CONNECTIONS),
                 )
         except (OSError, _caller_connection.CallerGone):
             pass
@@ -150,7 +150,7 @@
             if connection.expired:
                 problem = core.problems.REQUEST_TIMEOUT
             self._refuse(
-                connection, core.Refusal(problem=problem, detail=str(error))
+                connection, core.Problem(problem=problem, detail=str(error))
             )
             return None
         finally:
--- a/wigeonrouter/node/_node.py
+++ b/wigeonrouter/node/_node.py
@@ -39,7 +39,7 @@
 # Callers that ask a node which has just started wait for its configuration.
 _START_S = 0.4
 # Settings that a running node takes over.
-_CHANGEABLE = frozenset(
+_RELOADABLE = frozenset(
     {"bounds", "capacity", "heartbeat", "regions", "seeds"}
 )
 # Nodes of a region that serve the callers of one service.
@@ -200,7 +200,7 @@
           settings: topology.NodeSettings of the changed file.
         """
         plan = core.plan_reload(
-            current=self._settings, wanted=settings, changeable=_CHANGEABLE
+            current=self._settings, requested=settings, reloadable=_RELOADABLE
         )
         self._settings = plan.settings
         self._region.reload(plan.settings)
@@ -211,7 +211,9 @@
                 window=plan.settings.bounds.retry_window,
             )
         self._events.notice(
-            "settings-reloaded", changed=plan.changed, kept=plan.kept
+            "settings-reloaded",
+            changed=plan.changed,
+            kept=plan.restart_required,
         )
 
     def _keep_running(self, name, function):
--- a/wigeonrouter/request_path/_attempt.py
+++ b/wigeonrouter/request_path/_attempt.py
@@ -28,7 +28,7 @@
             while the server may have run the request.
           grant: core.Grant.
         Returns:
-          HttpResponse, or core.Refusal.
+          HttpResponse, or core.Problem.
         """
         outcome, report, cancelled = core.Outcome.UNKNOWN, None, True
         refused = False
@@ -36,7 +36,7 @@
         try:
             answer = self._send(forwarding, grant.server.address)
             cancelled = False
-            if isinstance(answer, core.Refusal):
+            if isinstance(answer, core.Problem):
                 outcome = answer.problem.outcome
                 refused = answer.problem is core.problems.CONNECT_FAILED
             else:
@@ -48,7 +48,7 @@
                         allowance=forwarding.allowance,
                         text=answer.header(b"x-retry-budget"),
                     )
-                    answer = core.Refusal(
+                    answer = core.Problem(
                         problem=core.problems.REFUSED_BY_SERVER
                     )
                     forwarding.in_doubt = False
@@ -69,7 +69,7 @@
         while True:
             settings = forwarding.dispatcher.service.limits
             if self._clock() >= forwarding.deadline:
-                return core.Refusal(problem=core.problems.DEADLINE_PASSED)
+                return core.Problem(problem=core.problems.DEADLINE_PASSED)
             try:
                 connection = self._pool.checkout(
                     address=address,
@@ -77,7 +77,7 @@
                     deadline=forwarding.deadline,
                 )
             except _pool.ConnectFailed as error:
-                return core.Refusal(
+                return core.Problem(
                     problem=core.problems.CONNECT_FAILED, detail=str(error)
                 )
             fresh = connection.fresh
@@ -91,7 +91,7 @@
             except _pool.NotSent as error:
                 forwarding.in_doubt = False
                 if fresh:
-                    return core.Refusal(
+                    return core.Problem(
                         problem=core.problems.CONNECT_FAILED,
                         detail=str(error),
                     )
@@ -103,7 +103,7 @@
             # because this process was stopped.
             remaining = forwarding.deadline - self._clock()
             if remaining <= 0:
-                return core.Refusal(problem=core.problems.DEADLINE_PASSED)
+                return core.Problem(problem=core.problems.DEADLINE_PASSED)
             data = _render.render_request(
                 request=forwarding.request,
                 timeout_ms=max(1, int(remaining * 1000)),
@@ -122,19 +122,19 @@
                 )
             if not _answers(answer, forwarding.request):
                 reusable = False
-                return core.Refusal(
+                return core.Problem(
                     problem=core.problems.ANSWER_INVALID,
                     detail="response to another request",
                 )
             return answer
         except TimeoutError:
-            return core.Refusal(problem=core.problems.ANSWER_LATE)
+            return core.Problem(problem=core.problems.ANSWER_LATE)
         except OSError as error:
-            return core.Refusal(
+            return core.Problem(
                 problem=core.problems.ANSWER_LOST, detail=str(error)
             )
         except _messages.MalformedMessage as error:
-            return core.Refusal(problem=error.problem, detail=str(error))
+            return core.Problem(problem=error.problem, detail=str(error))
         finally:
             if reusable:
                 self._pool.put_back(address, connection)
--- a/wigeonrouter/request_path/_decisions.py
+++ b/wigeonrouter/request_path/_decisions.py
@@ -10,7 +10,7 @@
 
     Args:
       kind: core.TrafficKind.
-      refusal: core.Refusal of the failed attempt.
+      refusal: core.Problem of the failed attempt.
       attempt: number of the failed attempt, 1 for the first.
       max_attempts: bound on attempts.
       now: seconds on the monotonic clock.
@@ -33,10 +33,10 @@
     doubt.
 
     Args:
-      refusal: core.Refusal of the last attempt.
-      doubtful: core.Refusal of an earlier attempt in doubt, or None.
+      refusal: core.Problem of the last attempt.
+      doubtful: core.Problem of an earlier attempt in doubt, or None.
     Returns:
-      A core.Refusal.
+      A core.Problem.
     """
     if (
         doubtful is not None
--- a/wigeonrouter/request_path/_forwarder.py
+++ b/wigeonrouter/request_path/_forwarder.py
@@ -63,7 +63,7 @@
         Args:
           forwarding: Forwarding; updated on the way.
         Returns:
-          HttpResponse or core.Refusal.
+          HttpResponse or core.Problem.
         """
         retries = forwarding.dispatcher.service.retries
         # A hedge is a further attempt beyond max_attempts.
@@ -76,7 +76,7 @@
         doubtful = None
         while True:
             grant = self._acquire(forwarding)
-            if isinstance(grant, core.Refusal):
+            if isinstance(grant, core.Problem):
                 return _decisions.final_refusal(
                     refusal=grant, doubtful=doubtful
                 )
@@ -97,7 +97,7 @@
 
         def send_again():
             further = self._acquire(forwarding)
-            if isinstance(further, core.Refusal):
+            if isinstance(further, core.Problem):
                 return further
             return self._sender.send(forwarding, further)
 
--- a/wigeonrouter/request_path/_handler.py
+++ b/wigeonrouter/request_path/_handler.py
@@ -149,7 +149,7 @@
             raise
         except Exception:
             _log.exception("request {} failed", call.request_id)
-            answer = core.Refusal(problem=core.problems.INTERNAL)
+            answer = core.Problem(problem=core.problems.INTERNAL)
         return self._finish(call, answer)
 
     def _route(self, request):
@@ -176,12 +176,12 @@
     def _run(self, call):
         call.service, call.kind = self._route(call.request)
         if call.service is None:
-            return core.Refusal(problem=core.problems.NO_ROUTE)
+            return core.Problem(problem=core.problems.NO_ROUTE)
         limits_of = call.service.limits
         if len(call.request.body) > limits_of.max_body_bytes:
-            return core.Refusal(problem=core.problems.BODY_TOO_LARGE)
+            return core.Problem(problem=core.problems.BODY_TOO_LARGE)
         if len(call.tenant) > _MAX_TENANT_LENGTH:
-            return core.Refusal(
+            return core.Problem(
                 problem=core.problems.BAD_REQUEST,
                 detail="X-Tenant is too long",
             )
@@ -193,7 +193,7 @@
             limits=limits_of,
         )
         if timeout is None:
-            return core.Refusal(
+            return core.Problem(
                 problem=core.problems.BAD_REQUEST,
                 detail="X-Request-Timeout-Ms is no positive number",
             )
@@ -250,7 +250,7 @@
             answer = self._ids.check_not_run(call.request_id, answer)
             outcome = _outcome_of(answer)
         problem = ""
-        if isinstance(answer, core.Refusal):
+        if isinstance(answer, core.Problem):
             problem = answer.problem.name
             answer = _render.problem_response(
                 refusal=answer,
@@ -295,6 +295,6 @@
 
 
 def _outcome_of(answer):
-    if isinstance(answer, core.Refusal):
+    if isinstance(answer, core.Problem):
         return answer.problem.outcome
     return _attempt.outcome_of(answer)
--- a/wigeonrouter/request_path/_hedging.py
+++ b/wigeonrouter/request_path/_hedging.py
@@ -58,7 +58,7 @@
           first: function without arguments that makes the first attempt.
           second: function that waits for a slot and makes another one.
         Returns:
-          HttpResponse or core.Refusal.
+          HttpResponse or core.Problem.
         """
         service = forwarding.dispatcher.service
         window = self._windows[(service.name, forwarding.kind.name)]
--- a/wigeonrouter/request_path/_hedging_test.py
+++ b/wigeonrouter/request_path/_hedging_test.py
@@ -92,7 +92,7 @@
 
     def fail(name):
         gevent.sleep(0.01)
-        return core.Refusal(problem=getattr(core.problems, name))
+        return core.Problem(problem=getattr(core.problems, name))
 
     tasks = [gevent.spawn(fail, name) for name in (first, second)]
     assert _hedging._first_success(tasks).problem.name == expected
--- a/wigeonrouter/request_path/_owned_ids.py
+++ b/wigeonrouter/request_path/_owned_ids.py
@@ -32,10 +32,10 @@
         Args:
           request_id: text.
         Returns:
-          None where the request may be forwarded, else a core.Refusal.
+          None where the request may be forwarded, else a core.Problem.
         """
         if len(request_id) > _request_ids.MAX_ID_LENGTH:
-            return core.Refusal(
+            return core.Problem(
                 problem=core.problems.BAD_REQUEST,
                 detail="X-Request-Id is too long",
             )
@@ -56,9 +56,9 @@
 
         Args:
           request_id: text, possibly empty.
-          refusal: core.Refusal that says "not run" of the present request.
+          refusal: core.Problem that says "not run" of the present request.
         Returns:
-          A core.Refusal; that of the first request with the id where that
+          A core.Problem; that of the first request with the id where that
           one may have run.
         """
         return self._table.check(request_id) or refusal
@@ -90,13 +90,13 @@
             return None
         if parsed.daemon_id == self._own_member().daemon_id:
             # The daemon that remembered the id was replaced by this one.
-            return core.Refusal(problem=core.problems.ID_OWNER_UNREACHABLE)
+            return core.Problem(problem=core.problems.ID_OWNER_UNREACHABLE)
         refusal = self._table.check(request_id)
         if refusal is not None:
             return refusal
         reply = self._claim_from_peer(parsed, request_id)
         if reply is None:
-            return core.Refusal(problem=core.problems.ID_OWNER_UNREACHABLE)
+            return core.Problem(problem=core.problems.ID_OWNER_UNREACHABLE)
         return _request_ids.refuse_state(reply.outcome) if reply.seen else None
 
     def _is_own(self, parsed):
--- a/wigeonrouter/request_path/_request_ids.py
+++ b/wigeonrouter/request_path/_request_ids.py
@@ -57,7 +57,7 @@
 
 
 def check_age(*, time_ms, now):
-    """Return a core.Refusal where an id may have been forgotten.
+    """Return a core.Problem where an id may have been forgotten.
 
     Args:
       time_ms: Unix time in the id, milliseconds.
@@ -67,9 +67,9 @@
     """
     age = now - time_ms / 1000
     if age > RETENTION_S - CLOCK_TOLERANCE_S:
-        return core.Refusal(problem=core.problems.ID_EXPIRED)
+        return core.Problem(problem=core.problems.ID_EXPIRED)
     if age < -CLOCK_TOLERANCE_S:
-        return core.Refusal(
+        return core.Problem(
             problem=core.problems.BAD_REQUEST,
             detail="the request id is from the future",
         )
@@ -77,14 +77,14 @@
 
 
 def refuse_state(state):
-    """Return the core.Refusal that follows from the state of an id."""
+    """Return the core.Problem that follows from the state of an id."""
     if state == IN_PROGRESS:
-        return core.Refusal(problem=core.problems.DUPLICATE_IN_PROGRESS)
+        return core.Problem(problem=core.problems.DUPLICATE_IN_PROGRESS)
     if state == TABLE_FULL:
-        return core.Refusal(problem=core.problems.ID_TABLE_FULL)
+        return core.Problem(problem=core.problems.ID_TABLE_FULL)
     if state == EXPIRED:
-        return core.Refusal(problem=core.problems.ID_EXPIRED)
-    return core.Refusal(
+        return core.Problem(problem=core.problems.ID_EXPIRED)
+    return core.Problem(
         problem=core.problems.DUPLICATE, detail=f"first outcome: {state}"
     )
 
@@ -102,7 +102,7 @@
         return len(self._entries)
 
     def check(self, request_id):
-        """Return the core.Refusal of a known id, or None."""
+        """Return the core.Problem of a known id, or None."""
         self._expire()
         known = self._entries.get(request_id)
         return refuse_state(known.state) if known else None
@@ -111,11 +111,11 @@
         """Record an id before its request is forwarded.
 
         Returns:
-          None where the request may be forwarded, else a core.Refusal.
+          None where the request may be forwarded, else a core.Problem.
         """
         refusal = self.check(request_id)
         if refusal is None and len(self._entries) >= self._max_ids:
-            refusal = core.Refusal(problem=core.problems.ID_TABLE_FULL)
+            refusal = core.Problem(problem=core.problems.ID_TABLE_FULL)
         if refusal is None:
             self._entries[request_id] = _Entry(
                 started=self._clock(), state=IN_PROGRESS
