--- a/wigeonrouter/core/__init__.py
+++ b/wigeonrouter/core/__init__.py
@@ -1,4 +1,4 @@
-"""Immutable records, problem types and hashing that all packages share."""
+"""Immutable records, problem types and hashing shared by all packages."""
 
 from wigeonrouter.core import _hashing
 from wigeonrouter.core import _problems as problems  # noqa: F401
--- a/wigeonrouter/core/_hashing.py
+++ b/wigeonrouter/core/_hashing.py
@@ -1,10 +1,14 @@
-"""Rendezvous hashing: assigns keys to members with little movement."""
+"""Rendezvous hashing: assigns each key to one member of a set.
+
+When the set changes, only the keys owned by the members that were added or
+removed move.
+"""
 
 import xxhash
 
 
 def rendezvous_score(key, candidate):
-    """Return the score of a candidate for a key, a 64-bit integer."""
+    """Return the weight of a candidate for a key, an unsigned 64-bit int."""
     return xxhash.xxh3_64_intdigest(f"{key}\x00{candidate}".encode())
 
 
@@ -12,11 +16,11 @@
     """Order candidates for a key, the owner first.
 
     Args:
-      key: text that names what is to be owned.
-      candidates: an iterable of texts.
+      key: str that identifies the item to assign.
+      candidates: iterable of str, the names of the possible owners.
     Returns:
-      A list of the candidates by descending score. When one candidate goes
-      away, the order of the others does not change.
+      A list of the candidates by descending score. Removing a candidate
+      leaves the relative order of the others unchanged.
     """
     return sorted(
         candidates,
--- a/wigeonrouter/core/_problems.py
+++ b/wigeonrouter/core/_problems.py
@@ -1,4 +1,4 @@
-"""Types of refusals and failures that callers and operators may get."""
+"""Problem types (RFC 9457) that requests through the proxy can end with."""
 
 import dataclasses
 
@@ -7,12 +7,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ProblemType:
-    """A documented kind of failure.
+    """A documented type of problem.
 
     Attributes:
-      name: last part of the problem type, for instance ``no-route``.
-      status: HTTP status.
-      outcome: what the problem says of the request.
+      name: last part of the problem type URN, for instance ``no-route``.
+      title: summary of the type, the same for each occurrence.
+      status: HTTP status code of the response.
+      outcome: whether a backend server may have executed the request.
     """
 
     name: str
@@ -23,7 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Problem:
-    """A problem that occurred."""
+    """One occurrence of a problem.
+
+    Attributes:
+      problem: its type.
+      detail: explanation of this occurrence, empty where there is none.
+    """
 
     problem: ProblemType
     detail: str = ""
@@ -103,6 +109,6 @@
     "The daemon that the request id names cannot be asked",
     503,
 )
-# Appears in logs and metrics only; there is no one left to answer.
+# Only in logs and metrics: the caller is gone, so no response is sent.
 CALLER_GONE = _unknown("caller-gone", "The caller closed its connection", 499)
 INTERNAL = _unknown("internal", "The daemon failed", 500)
--- a/wigeonrouter/core/_records.py
+++ b/wigeonrouter/core/_records.py
@@ -1,35 +1,36 @@
-"""Immutable records that the other packages are functions over."""
+"""Immutable records that pass between the other packages."""
 
 import dataclasses
 import enum
 
 
 class Outcome(enum.Enum):
-    """What is known of a request once it is answered."""
+    """What is known about the execution of a request once it has ended."""
 
     OK = "ok"
-    # No backend server has run the request, and that is proved.
+    # No backend server has executed the request; this is certain.
     NOT_RUN = "not-run"
-    # A backend server may or may not have run the request.
+    # A backend server may or may not have executed the request.
     UNKNOWN = "unknown"
-    # A backend server has answered that the request failed.
+    # A backend server executed the request and reported a failure.
     FAILED = "failed"
 
 
 class ServerState(enum.Enum):
-    """Whether a backend server may get new work."""
+    """Whether a backend server is eligible for new requests."""
 
     READY = "ready"
-    # Gets one request at a time until it has proved itself.
+    # Limited to one request at a time until enough responses have arrived
+    # or slow start has ended.
     COLD = "cold"
     DRAINING = "draining"
     EJECTED = "ejected"
 
 
 class MemberState(enum.Enum):
-    """What a daemon believes about another one."""
+    """State of a daemon in the member table of another daemon."""
 
-    # Runs, but has no configuration yet; callers must not be sent to it.
+    # Running without a configuration; callers must not be sent to it.
     STARTING = "starting"
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -39,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Address:
-    """IP number and port."""
+    """IP address and port."""
 
     host: str
     port: int
@@ -54,9 +55,9 @@
     Args:
       text: the address, for instance ``127.0.0.1:8000``.
     Returns:
-      An Address.
+      An Address; the host is not checked.
     Raises:
-      ValueError: the text has no port or the port is no number.
+      ValueError: the text has no port, or the port is not a number.
     """
     host, separator, port = text.rpartition(":")
     if not separator:
@@ -66,7 +67,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Place:
-    """Where a process runs."""
+    """Region and failure domain in which a process runs."""
 
     region: str
     failure_domain: str
@@ -74,7 +75,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class BackendServer:
-    """A backend server as the operator configured it."""
+    """A backend server as configured by the operator.
+
+    Attributes:
+      name: group and server name, unique within a service.
+      slots: requests that it can execute concurrently.
+      draining: whether the operator has taken it out of rotation.
+    """
 
     name: str
     address: Address
@@ -85,14 +92,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LoadReport:
-    """A backend server's own statement of its load, taken from an answer.
+    """Load that a backend server reported in the headers of a response.
 
     Attributes:
-      in_flight: requests that it was running, all callers together.
-      slots: requests that it can run at once.
-      draining: whether it is leaving.
-      received: time of arrival, seconds on the monotonic clock.
-      own_in_flight: requests of this daemon among them, at arrival.
+      in_flight: requests that it was executing, from all daemons.
+      slots: requests that it can execute concurrently.
+      draining: whether it is shutting down.
+      received: time at which the report arrived, seconds on the monotonic
+        clock.
+      own_in_flight: requests of this daemon that were in flight to the
+        server at that time.
     """
 
     in_flight: int
@@ -104,23 +113,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class BackendView:
-    """What one daemon knows of a backend server.
+    """Health and load of a backend server as seen by one daemon.
+
+    Times are in seconds on the monotonic clock.
 
     Attributes:
-      in_flight: requests of this daemon that the server has not answered.
-      report: the last load report, if any.
-      latency: moving average of the time to answer, seconds.
-      failure_ratio: moving average of failed attempts, 0 to 1.
-      limit: adaptive bound on in-flight requests.
+      in_flight: requests of this daemon without a response yet.
+      report: the latest load report, or None.
+      latency: moving average of the response time, seconds.
+      failure_ratio: moving average of the share of failed attempts, 0 to 1.
+      limit: adaptive concurrency limit, requests in flight.
       responses: responses received since the server became ready or cold.
-      ready_since: time since which it may get work, seconds.
-      last_used: time of the last request sent to it, seconds.
-      failures_in_row: failed attempts since the last good answer.
-      refusals_in_row: refusals since the last answer.
-      ejections: ejections since the server last proved itself.
-      ejected_until: end of the ejection, seconds.
-      stopped: whether a server that announced its leaving has been seen to
-        refuse connections since.
+      ready_since: time at which it became eligible for requests.
+      last_used: time at which the last request was sent to it.
+      failures_in_row: consecutive failed attempts.
+      refusals_in_row: consecutive refused connections or requests.
+      ejections: ejections since the server last returned enough responses
+        to be trusted again.
+      ejected_until: time at which the current ejection ends.
+      stopped: whether a server that announced its shutdown has refused a
+        connection since.
     """
 
     server: BackendServer
@@ -143,12 +155,13 @@
 def evolve_view(view, **changes):
     """Return a copy of a BackendView with some fields changed.
 
-    Each request changes a view three times, and dataclasses.replace() runs
-    the whole constructor. This is why views have no slots.
+    Replaces dataclasses.replace(), which runs the whole constructor, since
+    each request changes a view three times. The copy needs the instance's
+    __dict__, so BackendView is declared without slots.
 
     Args:
       view: BackendView.
-      changes: new values by field name; names are not checked.
+      changes: new values by field name; the names are not checked.
     Returns:
       A BackendView.
     """
@@ -160,13 +173,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class TrafficKind:
-    """A kind of traffic of one service.
+    """A class of requests to one service.
 
     Attributes:
-      idempotent: whether a request may be run more than once.
-      methods: HTTP methods that it covers; all where empty.
-      path_prefixes: path prefixes that it covers; all where empty.
-      timeout: seconds given to a request that states no timeout.
+      idempotent: whether a request may be executed more than once.
+      methods: HTTP methods that belong to it; empty for all.
+      path_prefixes: path prefixes that belong to it; empty for all.
+      timeout: seconds for a request without a timeout header; None for the
+        default of the service.
     """
 
     name: str
@@ -178,7 +192,20 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RoutingSettings:
-    """How backend servers and entries are chosen. Prices are in ms."""
+    """Selection of backend servers and of entry daemons.
+
+    Attributes:
+      policy: name of the selection policy.
+      entry_scope: area, "region" or "failure-domain", whose callers share
+        the same home daemons.
+      homes: home daemons per area.
+      price_per_ms: weight of one millisecond of expected latency.
+      price_failure_domain_ms: penalty for a server in another failure
+        domain, milliseconds.
+      price_region_ms: penalty for a server in another region, milliseconds.
+      price_per_kilobyte_region_ms: penalty for each kilobyte sent to another
+        region, milliseconds.
+    """
 
     policy: str = "free_slot"
     entry_scope: str = "region"
@@ -191,7 +218,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LimitSettings:
-    """Bounds on requests and queues. Times are in seconds."""
+    """Limits on requests, queues and connections. Times are in seconds.
+
+    Attributes:
+      max_queue: requests of a service that may queue in one daemon.
+      connections_per_server: connections from one daemon to one server.
+      tenant_weights: pairs of tenant and fair-queueing weight.
+    """
 
     max_queue: int = 256
     max_body_bytes: int = 1 << 20
@@ -204,7 +237,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RetrySettings:
-    """Bounds on repeated attempts."""
+    """Limits on retries and hedged requests.
+
+    Attributes:
+      budget_ratio: retry budget, retries and hedges per request.
+      max_attempts: attempts of one request, the first included.
+      hedge_quantile: latency quantile after which an idempotent request is
+        hedged; 0 disables hedging.
+    """
 
     budget_ratio: float = 0.1
     max_attempts: int = 3
@@ -213,7 +253,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HealthSettings:
-    """Outliers, cold starts and probes. Times are in seconds."""
+    """Outlier ejection, slow start and probes.
+
+    Attributes:
+      max_ejected_ratio: largest share of a group that may be ejected.
+      slow_start: seconds for which a new server counts as cold.
+      probes_per_second: probes of the service's servers by all daemons
+        together.
+      probe_path: request path of a probe.
+    """
 
     max_ejected_ratio: float = 0.5
     slow_start: float = 10.0
@@ -223,7 +271,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class MatchSettings:
-    """Which requests a service gets."""
+    """Which requests are routed to a service.
+
+    Attributes:
+      hosts: values of the Host header without the port.
+      path_prefixes: prefixes of the request path.
+      service_header: value of the X-Service header, or None.
+    """
 
     hosts: tuple[str, ...] = ()
     path_prefixes: tuple[str, ...] = ()
@@ -232,12 +286,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class EffectiveService:
-    """A service with all that it inherits.
+    """A service with its own and its inherited settings.
 
     Attributes:
       name: path of its node, for instance ``/carril-azul/holds``.
       servers: backend servers of all its groups, ordered by name.
-      kinds: its kinds of traffic.
+      kinds: its classes of requests.
     """
 
     name: str
@@ -252,12 +306,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Member:
-    """A daemon as another one knows it.
+    """An entry of the member table: one daemon.
 
     Attributes:
-      incarnation: grows with each start and each refuted suspicion.
-      instance: start time of the process in ms since the epoch. Request ids
-        name it, because a new process has forgotten the ids of the old one.
+      incarnation: version of the record; a daemon raises its own at each
+        start and when it refutes a suspicion.
+      caller_address: where callers send requests.
+      admin_address: where the administration API is served.
+      peer_address: where other daemons connect.
+      instance: start time of the process, milliseconds since the epoch.
+        Request ids contain it, because the table of request ids is lost
+        when the process restarts.
     """
 
     daemon_id: str
@@ -272,12 +331,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DispatchRequest:
-    """What a dispatcher needs to know of a request.
+    """Properties of a request that determine how it is dispatched.
 
     Attributes:
-      deadline: time by which the caller must have the answer, seconds on
-        the monotonic clock.
-      excluded: names of backend servers that an earlier attempt used.
+      deadline: time by which the caller needs the response, seconds on the
+        monotonic clock.
+      body_bytes: size of the request body.
+      attempt: number of the attempt, from 1.
+      excluded: names of backend servers used by earlier attempts.
     """
 
     kind: TrafficKind
@@ -293,9 +354,9 @@
     """Permission to send one request to one backend server.
 
     Attributes:
-      granted: seconds on the monotonic clock.
-      tenant: tenant that was charged for the slot, if any.
-      charged: seconds of slot time that it was charged, an estimate.
+      granted: time of the decision, seconds on the monotonic clock.
+      tenant: tenant that was charged for the slot, empty if none.
+      charged: estimated slot time charged to the tenant, seconds.
     """
 
     server: BackendServer
@@ -309,10 +370,12 @@
     """How an attempt ended.
 
     Attributes:
-      outcome: what is known of the request after the attempt.
-      latency: seconds from grant to the whole answer or the failure.
-      report: the load report that rode on the answer, if any.
-      cancelled: whether the caller went away; says nothing of the server.
+      outcome: whether the attempt executed the request.
+      latency: seconds from the grant to the complete response or the
+        failure.
+      report: load report in the response headers, or None.
+      cancelled: whether the attempt ended because the caller disconnected;
+        such an attempt says nothing about the health of the server.
       refused: whether the server refused the connection or the request.
     """
 
--- a/wigeonrouter/core/_reload.py
+++ b/wigeonrouter/core/_reload.py
@@ -1,16 +1,17 @@
-"""Decides which settings a running process can take over."""
+"""Decides which settings a running process can apply without a restart."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ReloadPlan:
-    """What follows from a changed settings file.
+    """Result of comparing the current settings with a changed file.
 
     Attributes:
-      settings: settings to use from now on.
-      changed: names of the settings that change.
-      restart_required: names of settings that differ but need a restart.
+      settings: current settings with the reloadable changes applied.
+      changed: names of the settings that change now.
+      restart_required: names of the settings that differ in the file and
+        keep their current value until a restart.
     """
 
     settings: object
@@ -22,9 +23,9 @@
     """Compare two settings and return a ReloadPlan.
 
     Args:
-      current: data class of the settings in force.
-      requested: data class of the same type.
-      reloadable: names of the fields that need no restart.
+      current: data class instance with the settings in use.
+      requested: instance of the same class, read from the changed file.
+      reloadable: set of the names of the fields that need no restart.
     """
     differing = {
         field.name
--- a/wigeonrouter/settings/__init__.py
+++ b/wigeonrouter/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Settings: checking, inheritance and the records built from them."""
+"""Settings: validation, inheritance and the records built from them."""
 
 from wigeonrouter.settings import _checker
 from wigeonrouter.settings import _daemon
--- a/wigeonrouter/settings/_checker.py
+++ b/wigeonrouter/settings/_checker.py
@@ -1,7 +1,8 @@
-"""Checks JSON documents against the schema and its bounds.
+"""Validates JSON documents against the schema and the bounds in it.
 
-The checker collects every error with its JSON path, what is wrong and what
-is allowed, so that an operator can correct a document in one go.
+Validation does not stop at the first error. It collects them, each with its
+JSON path, the problem and the allowed values, so that an operator can correct
+a document in one pass.
 """
 
 import collections
@@ -17,14 +18,17 @@
 
 from wigeonrouter.schema import settings_pb2
 
-# A tree deeper than this is a mistake, and unbounded recursion a hazard.
+# Levels of nested messages. Bounds the recursion of the checker; no useful
+# document is nested deeper.
 MAX_DEPTH = 64
-# The store holds values up to 1 MB; a change has to fit with its envelope.
+# The store accepts values of up to 1 MB, and the log entry that holds a
+# change adds to its size.
 MAX_DOCUMENT_BYTES = 900_000
-# More than an operator reads in one go; a large document of nothing but
-# mistakes would otherwise give a reply many times its size.
+# Without this limit, the response to a large document full of errors would
+# be many times its size. Nobody reads more errors at once.
 MAX_ERRORS = 100
-_MAX_SHOWN = 40
+# Characters of a value or key that are quoted in an error.
+_MAX_SHOWN_CHARACTERS = 40
 
 _Field = descriptor.FieldDescriptor
 _SURROGATE = re.compile("[\ud800-\udfff]")
@@ -37,12 +41,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DocumentError:
-    """One mistake in a document.
+    """One validation error of a document.
 
     Attributes:
       path: JSON path, for instance ``$.settings.limits.max_queue``.
-      problem: what is wrong.
-      allowed: what would be accepted.
+      problem: what is wrong with the value at the path.
+      allowed: description of the accepted values.
     """
 
     path: str
@@ -54,11 +58,11 @@
 
 
 def parse_document(*, text, message_type):
-    """Parse and check a JSON document.
+    """Parse and validate a JSON document.
 
     Args:
-      text: the document, str or bytes.
-      message_type: generated class, for instance settings_pb2.Node.
+      text: the document, str or UTF-8 bytes.
+      message_type: generated message class, such as settings_pb2.Node.
     Returns:
       Success(message), or Failure(tuple of DocumentError).
     """
@@ -70,7 +74,7 @@
 
 
 def decode_document(text):
-    """Decode a JSON document without checking it against a schema.
+    """Decode a JSON document without validating it against a schema.
 
     Args:
       text: the document, str or UTF-8 bytes.
@@ -95,13 +99,14 @@
 
 
 def build_message(*, document, message_type, pause=None):
-    """Check a decoded document and build its message.
+    """Validate a decoded document and build its message.
 
     Args:
-      document: what decode_document returned.
-      message_type: generated class.
-      pause: function to call now and then. The largest documents take a
-        third of a second, in which a daemon has to serve others.
+      document: decoded JSON value, see decode_document.
+      message_type: generated message class.
+      pause: function without arguments, called between nested messages, that
+        lets other tasks run, or None. The largest documents take a third of
+        a second, during which a daemon must go on serving requests.
     Returns:
       Success(message), or Failure(tuple of DocumentError).
     """
@@ -128,34 +133,34 @@
 
 
 def check_document(*, document, message_type, pause=None):
-    """Check a decoded document.
+    """Validate a decoded document.
 
     Args:
-      document: what json.loads returned.
-      message_type: generated class.
+      document: decoded JSON value.
+      message_type: generated message class.
       pause: see build_message.
     Returns:
-      A tuple of at most MAX_ERRORS DocumentError, empty where the document
-      is accepted.
+      A tuple of at most MAX_ERRORS DocumentError, empty if the document is
+      valid.
     """
     errors = _Errors(pause=pause or (lambda: None))
     try:
         _check_message(document, message_type.DESCRIPTOR, "$", errors, 0)
-    except _EnoughErrors:
+    except _TooManyErrors:
         pass
     return tuple(errors.found)
 
 
 class _Errors:
-    """Collects the errors of one check."""
+    """Errors found so far in one document."""
 
     def __init__(self, *, pause):
         self.found = []
         self.pause = pause
 
 
-class _EnoughErrors(Exception):
-    """Ends a check that has found MAX_ERRORS errors."""
+class _TooManyErrors(Exception):
+    """Ends the validation once MAX_ERRORS errors have been found."""
 
 
 def _failure(*, problem, allowed):
@@ -169,28 +174,34 @@
     if len(keys) != len(pairs):
         counts = collections.Counter(key for key, _ in pairs)
         repeated = counts.most_common(1)[0][0]
-        raise ValueError(f"key {_shorten(repr(repeated))} occurs twice")
+        raise ValueError(f"key {_truncate(repr(repeated))} occurs twice")
     return keys
 
 
 def _check_message(value, message, path, errors, depth):
     if depth > MAX_DEPTH:
-        _add(errors, path, "nested too deep", f"at most {MAX_DEPTH} levels")
+        _add_error(
+            errors, path, "nested too deep", f"at most {MAX_DEPTH} levels"
+        )
         return
     if not isinstance(value, dict):
-        _add(errors, path, f"{_kind(value)} found", "an object")
+        _add_error(
+            errors, path, f"{_describe_value(value)} found", "an object"
+        )
         return
     errors.pause()
     for key, item in value.items():
         field = message.fields_by_name.get(key)
         if field is None:
             known = ", ".join(sorted(message.fields_by_name))
-            _add(errors, f"{path}.{_shorten(key)}", "unknown key", known)
+            _add_error(
+                errors, f"{path}.{_truncate(key)}", "unknown key", known
+            )
             continue
         _check_field(item, field, f"{path}.{key}", errors, depth)
-    for field in _required_fields(message):
+    for field in _list_required_fields(message):
         if field.name not in value:
-            _add(
+            _add_error(
                 errors,
                 f"{path}.{field.name}",
                 "missing",
@@ -199,7 +210,7 @@
 
 
 @functools.cache
-def _required_fields(message):
+def _list_required_fields(message):
     return tuple(f for f in message.fields if bounds_of(f).required)
 
 
@@ -208,7 +219,9 @@
         _check_map(value, field, path, errors, depth)
     elif field.is_repeated:
         if not isinstance(value, list):
-            _add(errors, path, f"{_kind(value)} found", "a list")
+            _add_error(
+                errors, path, f"{_describe_value(value)} found", "a list"
+            )
             return
         for index, item in enumerate(value):
             _check_single(item, field, f"{path}[{index}]", errors, depth)
@@ -218,17 +231,21 @@
 
 def _check_map(value, field, path, errors, depth):
     if not isinstance(value, dict):
-        _add(errors, path, f"{_kind(value)} found", "an object")
+        _add_error(
+            errors, path, f"{_describe_value(value)} found", "an object"
+        )
         return
     pattern = bounds_of(field).pattern
     value_field = field.message_type.fields_by_name["value"]
     for key, item in value.items():
         if pattern and not re.fullmatch(pattern, key):
-            shown = _shorten(repr(key))
-            _add(errors, path, f"bad name {shown}", f"names like {pattern}")
+            shown = _truncate(repr(key))
+            _add_error(
+                errors, path, f"bad name {shown}", f"names like {pattern}"
+            )
             continue
         if not _is_unicode(key):
-            _add(errors, path, "bad name", "valid Unicode text")
+            _add_error(errors, path, "bad name", "valid Unicode text")
             continue
         if value_field.type == _Field.TYPE_MESSAGE:
             _check_single(
@@ -248,31 +265,33 @@
 def _check_scalar(value, field, bounds_field, path, errors):
     bounds = bounds_of(bounds_field)
     if field.type == _Field.TYPE_STRING:
-        fits = isinstance(value, str) and _is_unicode(value)
-        if fits and bounds.allowed:
-            fits = value in bounds.allowed
-        elif fits and bounds.pattern:
-            fits = re.fullmatch(bounds.pattern, value) is not None
-            if fits and bounds.pattern == _ADDRESS_PATTERN:
-                fits = is_address(value)
+        valid = isinstance(value, str) and _is_unicode(value)
+        if valid and bounds.allowed:
+            valid = value in bounds.allowed
+        elif valid and bounds.pattern:
+            valid = re.fullmatch(bounds.pattern, value) is not None
+            if valid and bounds.pattern == _ADDRESS_PATTERN:
+                valid = is_address(value)
     elif field.type == _Field.TYPE_BOOL:
-        fits = isinstance(value, bool)
+        valid = isinstance(value, bool)
     elif field.type in _INTEGER_RANGES:
         low, high = _INTEGER_RANGES[field.type]
-        fits = type(value) is int and low <= value <= high
-        fits = fits and _within(value, bounds)
+        valid = type(value) is int and low <= value <= high
+        valid = valid and _is_within_bounds(value, bounds)
     else:
-        fits = type(value) in (int, float) and _within(value, bounds)
-    if not fits:
-        _add(
+        valid = type(value) in (int, float) and _is_within_bounds(
+            value, bounds
+        )
+    if not valid:
+        _add_error(
             errors,
             path,
-            f"{_kind(value)} found",
+            f"{_describe_value(value)} found",
             describe_field(field, bounds),
         )
 
 
-def _within(value, bounds):
+def _is_within_bounds(value, bounds):
     if value != value or value in (float("inf"), float("-inf")):
         return False
     if bounds.HasField("min") and value < bounds.min:
@@ -281,7 +300,12 @@
 
 
 def describe_field(field, bounds=None):
-    """Return in words what a field accepts."""
+    """Return a description of the values that a field accepts.
+
+    Args:
+      field: FieldDescriptor of a scalar field.
+      bounds: settings_pb2.Bounds to describe instead of the field's own.
+    """
     bounds = bounds or bounds_of(field)
     if field.type == _Field.TYPE_STRING:
         if bounds.allowed:
@@ -301,10 +325,10 @@
 
 @functools.cache
 def bounds_of(field):
-    """Return the Bounds option of a field; it must not be modified.
+    """Return the Bounds option of a field; the caller must not modify it.
 
-    Reading an option from the schema takes longer than all other checks of a
-    value together.
+    Cached, because reading an option from the descriptor takes longer than
+    all other checks of a value together.
     """
     return field.GetOptions().Extensions[settings_pb2.bounds]
 
@@ -317,20 +341,24 @@
     )
 
 
-def _kind(value):
+def _describe_value(value):
     if isinstance(value, dict):
         return "an object"
     if isinstance(value, list):
         return "a list"
-    return _shorten(json.dumps(value))
+    return _truncate(json.dumps(value))
 
 
-def _shorten(text):
-    return text if len(text) <= _MAX_SHOWN else f"{text[:_MAX_SHOWN]}…"
+def _truncate(text):
+    return (
+        text
+        if len(text) <= _MAX_SHOWN_CHARACTERS
+        else f"{text[:_MAX_SHOWN_CHARACTERS]}…"
+    )
 
 
 def _is_unicode(text):
-    # JSON can escape half of a surrogate pair, which UTF-8 cannot encode.
+    # JSON escapes can hold a lone surrogate, which UTF-8 cannot encode.
     return _SURROGATE.search(text) is None
 
 
@@ -346,15 +374,15 @@
     )
 
 
-def _add(errors, path, problem, allowed):
+def _add_error(errors, path, problem, allowed):
     errors.found.append(
         DocumentError(path=path, problem=problem, allowed=allowed)
     )
     if len(errors.found) >= MAX_ERRORS:
-        raise _EnoughErrors()
+        raise _TooManyErrors()
 
 
-# Every field with this pattern holds an address.
+# Fields with this pattern hold an address; is_address then checks its range.
 _ADDRESS_PATTERN = bounds_of(
     settings_pb2.Server.DESCRIPTOR.fields_by_name["address"]
 ).pattern
--- a/wigeonrouter/settings/_checker_test.py
+++ b/wigeonrouter/settings/_checker_test.py
@@ -1,4 +1,4 @@
-"""Guards against settings that are accepted although they are wrong."""
+"""Guards against the acceptance of invalid settings documents."""
 
 import json
 
@@ -66,7 +66,7 @@
         ),
     )
 )
-def test_any_document_is_accepted_or_refused_with_errors(document):
+def test_any_document_is_accepted_or_rejected_with_errors(document):
     errors = settings.check_document(
         document=document, message_type=settings_pb2.Node
     )
--- a/wigeonrouter/settings/_daemon.py
+++ b/wigeonrouter/settings/_daemon.py
@@ -8,12 +8,24 @@
 from wigeonrouter.schema import daemon_pb2
 from wigeonrouter.settings import _checker
 
-_MS = 1e-3
+_MS_IN_S = 1e-3
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DaemonSettings:
-    """What a daemon learns at start. Times are in seconds."""
+    """Settings of one daemon. Times are in seconds.
+
+    The field names appear in the log line of a reload.
+
+    Attributes:
+      seeds: peer addresses to contact at start.
+      entry_ttl: time for which callers may cache the response to an entry
+        query.
+      bootstrap_token_sha256: hex digest of a token with the role admin on
+        the root; empty for none.
+      log_lines_per_second: limit on request log lines.
+      tls_key_file: empty where peers do not use TLS.
+    """
 
     daemon_id: str
     place: core.Place
@@ -35,10 +47,10 @@
 
 
 def load_daemon_settings(path):
-    """Read and check a settings file.
+    """Read and validate a daemon's settings file.
 
     Args:
-      path: name of the file.
+      path: path of the JSON file.
     Returns:
       Success(DaemonSettings), or Failure(tuple of DocumentError).
     """
@@ -57,10 +69,10 @@
         )
     return _checker.parse_document(
         text=text, message_type=daemon_pb2.DaemonSettings
-    ).map(_build)
+    ).map(_build_settings)
 
 
-def _build(message):
+def _build_settings(message):
     return DaemonSettings(
         daemon_id=message.daemon_id,
         place=core.Place(
@@ -71,9 +83,9 @@
         peer_address=core.parse_address(message.peer_address),
         store_address=core.parse_address(message.store.address),
         store_adapter=message.store.adapter or "tcp",
-        store_timeout=(message.store.timeout_ms or 1000) * _MS,
+        store_timeout=(message.store.timeout_ms or 1000) * _MS_IN_S,
         seeds=tuple(core.parse_address(seed) for seed in message.seeds),
-        entry_ttl=(message.entry_ttl_ms or 5000) * _MS,
+        entry_ttl=(message.entry_ttl_ms or 5000) * _MS_IN_S,
         bootstrap_token_sha256=message.bootstrap_token_sha256,
         log_format=message.log.format or "text",
         log_level=message.log.level or "info",
--- a/wigeonrouter/settings/_effective.py
+++ b/wigeonrouter/settings/_effective.py
@@ -1,16 +1,16 @@
-"""Turns merged settings into the frozen records that requests use."""
+"""Converts merged settings to the immutable records of the request path."""
 
 from wigeonrouter import core
 from wigeonrouter.settings import _tree
 
-_MS = 1e-3
+_MS_IN_S = 1e-3
 
 
 def build_services(root):
-    """Build every service of a tree.
+    """Build all services of a tree.
 
     Args:
-      root: settings_pb2.Node.
+      root: settings_pb2.Node, the root of the tree.
     Returns:
       A dict from path to core.EffectiveService.
     """
@@ -21,25 +21,25 @@
 
 
 def build_service(*, root, path):
-    """Build the service at a path; see build_services."""
+    """Build the core.EffectiveService of the node at a path."""
     merged = _tree.merge_settings(root=root, path=path)
     return core.EffectiveService(
         name=path,
         match=core.MatchSettings(
             hosts=tuple(merged.match.hosts),
             path_prefixes=tuple(merged.match.path_prefixes),
-            service_header=_optional(merged.match, "service_header"),
+            service_header=_get_or_none(merged.match, "service_header"),
         ),
-        servers=_servers(merged),
-        kinds=_kinds(merged),
-        routing=core.RoutingSettings(**_given(merged.routing)),
-        limits=_limits(merged.limits),
-        retries=core.RetrySettings(**_given(merged.retries)),
-        health=_health(merged.health),
+        servers=_build_servers(merged),
+        kinds=_build_kinds(merged),
+        routing=core.RoutingSettings(**_explicit_fields(merged.routing)),
+        limits=_build_limits(merged.limits),
+        retries=core.RetrySettings(**_explicit_fields(merged.retries)),
+        health=_build_health(merged.health),
     )
 
 
-def _servers(merged):
+def _build_servers(merged):
     servers = []
     for group_name in sorted(merged.groups):
         group = merged.groups[group_name]
@@ -60,7 +60,7 @@
     return tuple(servers)
 
 
-def _kinds(merged):
+def _build_kinds(merged):
     return tuple(
         core.TrafficKind(
             name=name,
@@ -68,34 +68,36 @@
             methods=frozenset(kind.methods),
             path_prefixes=tuple(kind.path_prefixes),
             timeout=(
-                kind.timeout_ms * _MS if kind.HasField("timeout_ms") else None
+                kind.timeout_ms * _MS_IN_S
+                if kind.HasField("timeout_ms")
+                else None
             ),
         )
         for name, kind in sorted(merged.kinds.items())
     )
 
 
-def _limits(message):
-    given = _given(message)
-    weights = given.pop("tenant_weights", {})
+def _build_limits(message):
+    values = _explicit_fields(message)
+    weights = values.pop("tenant_weights", {})
     for name in ("default_timeout", "max_timeout"):
-        if f"{name}_ms" in given:
-            given[name] = given.pop(f"{name}_ms") * _MS
+        if f"{name}_ms" in values:
+            values[name] = values.pop(f"{name}_ms") * _MS_IN_S
     return core.LimitSettings(
-        tenant_weights=tuple(sorted(weights.items())), **given
+        tenant_weights=tuple(sorted(weights.items())), **values
     )
 
 
-def _health(message):
-    given = _given(message)
-    if "slow_start_ms" in given:
-        given["slow_start"] = given.pop("slow_start_ms") * _MS
-    return core.HealthSettings(**given)
+def _build_health(message):
+    values = _explicit_fields(message)
+    if "slow_start_ms" in values:
+        values["slow_start"] = values.pop("slow_start_ms") * _MS_IN_S
+    return core.HealthSettings(**values)
 
 
-def _given(message):
+def _explicit_fields(message):
     return {field.name: value for field, value in message.ListFields()}
 
 
-def _optional(message, name):
+def _get_or_none(message, name):
     return getattr(message, name) if message.HasField(name) else None
--- a/wigeonrouter/settings/_reference.py
+++ b/wigeonrouter/settings/_reference.py
@@ -1,4 +1,4 @@
-"""Renders the settings reference from the schema's bounds options."""
+"""Renders the settings reference from the field options of the schema."""
 
 from google.protobuf import descriptor
 
@@ -33,7 +33,7 @@
 
 
 def render_reference():
-    """Return the reference page as Markdown text."""
+    """Return the settings reference in Markdown, as a str."""
     parts = [
         _INTRODUCTION.format(
             max_bytes=_checker.MAX_DOCUMENT_BYTES,
@@ -57,9 +57,9 @@
         yield f"\n### {message.name}\n\n"
         yield "| key | type | allowed | meaning |\n|---|---|---|---|\n"
         for field in message.fields:
-            kind, nested = _kind(field)
+            kind, nested = _describe_type(field)
             bounds = _checker.bounds_of(field)
-            allowed = _allowed(field, bounds)
+            allowed = _describe_allowed(field, bounds)
             if bounds.required:
                 allowed = f"{allowed}; required" if allowed else "required"
             allowed = allowed.replace("|", "\\|")
@@ -68,13 +68,13 @@
                 pending.append(nested)
 
 
-def _kind(field):
-    """Return the type of a field in words, and its message type or None."""
+def _describe_type(field):
+    """Return (description of a field's type, its message type or None)."""
     if field.type == descriptor.FieldDescriptor.TYPE_MESSAGE:
         if not field.message_type.GetOptions().map_entry:
             return field.message_type.name, field.message_type
         value = field.message_type.fields_by_name["value"]
-        kind, nested = _kind(value)
+        kind, nested = _describe_type(value)
         return f"map from name to {kind}", nested
     kind = {
         descriptor.FieldDescriptor.TYPE_STRING: "text",
@@ -84,12 +84,12 @@
     return (f"list of {kind}" if field.is_repeated else kind), None
 
 
-def _allowed(field, bounds):
+def _describe_allowed(field, bounds):
     if field.type != descriptor.FieldDescriptor.TYPE_MESSAGE:
-        words = _checker.describe_field(field)
-        if words.startswith("text like "):
-            words = f"text like `{bounds.pattern}`"
-        return "" if words in ("text", "a number") else words
+        description = _checker.describe_field(field)
+        if description.startswith("text like "):
+            description = f"text like `{bounds.pattern}`"
+        return "" if description in ("text", "a number") else description
     if not field.message_type.GetOptions().map_entry:
         return ""
     value = field.message_type.fields_by_name["value"]
--- a/wigeonrouter/settings/_rules.py
+++ b/wigeonrouter/settings/_rules.py
@@ -1,7 +1,7 @@
-"""Checks that need more than one field: rules on the merged settings.
+"""Validation rules across fields and services.
 
-The schema bounds each field on its own. The rules here look at what a node
-has after inheritance, and at the services of the whole tree.
+The schema bounds each field on its own. The rules here apply to the settings
+of a node after inheritance and to all services of the tree together.
 """
 
 import dataclasses
@@ -9,19 +9,22 @@
 from wigeonrouter.settings import _checker
 from wigeonrouter.settings import _tree
 
-# The protobuf library parses 100 levels of nested messages. A level of the
-# tree takes two, and settings, change and log entry take up to eight more.
+# The protobuf library parses at most 100 levels of nested messages. Each
+# level of the tree takes two; the settings, the change and the log entry take
+# up to eight more.
 MAX_TREE_LEVELS = 32
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RuleError:
-    """A rule that the tree breaks.
+    """One violation of a rule by the tree.
 
     Attributes:
-      node: path of the node that set the value.
+      node: path of the node that sets the value.
       field: dotted name of the field below ``settings``; "" for the node
         itself.
+      problem: what is wrong with the value.
+      allowed: description of the accepted values.
     """
 
     node: str
@@ -32,12 +35,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Anchor:
-    """Where a change stands in the operator's document.
+    """Position of a change in the operator's document.
 
     Attributes:
-      path: path of the changed node.
-      prefix: JSON path of the node or the settings.
-      settings_only: whether the document holds settings instead of a node.
+      path: path of the changed node in the tree.
+      prefix: JSON path of the node or the settings in the document.
+      settings_only: whether the document holds only the node's settings.
     """
 
     path: str
@@ -49,32 +52,35 @@
     """Check the merged settings of each node.
 
     Args:
-      root: settings_pb2.Node, a whole tree or an excerpt; see
+      root: settings_pb2.Node, a complete tree or an excerpt of it; see
         excerpt_tree.
-      policies: names of the known selection policies, or None to accept any.
-      matches: dict from match key to service path, for the services that
-        are not part of root; see match_keys.
-      pause: function to call between nodes. A whole tree of the target size
-        takes a quarter of a second, in which a daemon has to serve others.
-        The caller must own root.
+      policies: names of the known selection policies; None accepts any.
+      matches: dict from match key to service path, for the services outside
+        of root; see match_keys.
+      pause: function without arguments, called between nodes, that lets
+        other tasks run, or None. A tree of the target size takes a quarter
+        of a second, during which a daemon must go on serving requests. Other
+        tasks must not modify root meanwhile.
     Returns:
       A tuple of at most MAX_ERRORS RuleError.
     """
     matches = dict(matches or {})
     errors = {}
     for path, merged in _tree.walk_effective(root):
-        found = [
+        violations = [
             *_check_depth(path),
             *_check_timeouts(merged),
             *_check_policy(merged, policies),
             *_check_addresses(merged),
             *_check_match(path, merged, matches),
         ]
-        if found:
+        if violations:
             _, origins = _tree.effective_settings(root=root, path=path)
-            found = [_name_origins(error, path, origins) for error in found]
-        # Nodes that inherit a mistake would report it once more each.
-        errors.update(((e.node, e.field), e) for e in found)
+            violations = [
+                _to_rule_error(error, path, origins) for error in violations
+            ]
+        # Each node that inherits an invalid value reports it again.
+        errors.update(((e.node, e.field), e) for e in violations)
         if len(errors) >= _checker.MAX_ERRORS:
             break
         if pause is not None:
@@ -83,13 +89,13 @@
 
 
 def match_keys(match):
-    """Return the texts by which requests find a service.
+    """Return the keys that identify the requests of a service.
 
     Args:
       match: core.MatchSettings or settings_pb2.Match.
     Returns:
-      A list of pairs (dotted field name, key). Two services with a common
-      key would compete for the same requests.
+      A list of pairs (field name, key). Two services with a common key would
+      match the same requests.
     """
     keys = []
     if match.service_header:
@@ -104,52 +110,62 @@
 
 
 def locate_error(*, error, anchors):
-    """Turn a RuleError into a DocumentError with a JSON path.
+    """Convert a RuleError to a DocumentError with a JSON path.
 
     Args:
       error: a RuleError.
-      anchors: the Anchors of the document; the last one that holds the node
-        counts, since later changes override earlier ones.
+      anchors: the Anchors of the document. The last one that covers the node
+        is used, since later changes override earlier ones.
     Returns:
-      A DocumentError. Where the document does not hold the value, its path
+      A DocumentError. If the document does not contain the value, the path
       starts with the path of the node in the tree.
     """
     names = _tree.split_path(error.node)
     field = f".settings.{error.field}" if error.field else ""
     path = f"{error.node} ${field}"
     for anchor in anchors:
-        above = _tree.split_path(anchor.path)
-        if names[: len(above)] != above:
+        anchor_names = _tree.split_path(anchor.path)
+        if names[: len(anchor_names)] != anchor_names:
             continue
         if anchor.settings_only:
-            if names == above:
+            if names == anchor_names:
                 path = f"{anchor.prefix}.{error.field}"
             continue
-        below = "".join(f".children.{name}" for name in names[len(above) :])
+        below = "".join(
+            f".children.{name}" for name in names[len(anchor_names) :]
+        )
         path = f"{anchor.prefix}{below}{field}"
     return _checker.DocumentError(
         path=path, problem=error.problem, allowed=error.allowed
     )
 
 
-def _name_origins(broken, path, origins):
-    """Return the RuleError of a _Broken rule of the node at a path."""
-    allowed = broken.allowed
-    if broken.cause:
-        allowed = f"{allowed}, which {origins.get(broken.cause, path)} sets"
+def _to_rule_error(violation, path, origins):
+    """Return the RuleError of a _Violation by the node at a path.
+
+    Args:
+      violation: a _Violation.
+      path: path of the node whose merged settings were checked.
+      origins: dict from dotted field name to the path of the node that sets
+        it; see _tree.effective_settings.
+    """
+    allowed = violation.allowed
+    if violation.cause:
+        allowed = f"{allowed}, which {origins.get(violation.cause, path)} sets"
     return RuleError(
-        node=origins.get(broken.field, path),
-        field=broken.field,
-        problem=broken.problem,
+        node=origins.get(violation.field, path),
+        field=violation.field,
+        problem=violation.problem,
         allowed=allowed,
     )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Broken:
-    """A rule that the merged settings of a node break.
+class _Violation:
+    """A violation of a rule by the merged settings of one node.
 
     Attributes:
+      field: dotted name of the field that violates the rule.
       cause: dotted name of the field that sets the bound, or "".
     """
 
@@ -162,7 +178,7 @@
 def _check_depth(path):
     levels = len(_tree.split_path(path))
     if levels > MAX_TREE_LEVELS:
-        yield _Broken(
+        yield _Violation(
             field="",
             problem=f"node at level {levels} of the tree",
             allowed=f"at most {MAX_TREE_LEVELS} levels",
@@ -177,7 +193,7 @@
     ):
         return
     if limits.default_timeout_ms > limits.max_timeout_ms:
-        yield _Broken(
+        yield _Violation(
             field="limits.default_timeout_ms",
             problem=f"{limits.default_timeout_ms} is above max_timeout_ms",
             allowed=f"at most {limits.max_timeout_ms}",
@@ -190,7 +206,7 @@
     if policies is None:
         return
     if routing.HasField("policy") and routing.policy not in policies:
-        yield _Broken(
+        yield _Violation(
             field="routing.policy",
             problem=f"unknown policy {routing.policy[:64]!r}",
             allowed="one of " + ", ".join(policies),
@@ -198,12 +214,14 @@
 
 
 def _check_addresses(merged):
-    seen = {}
+    names_by_address = {}
     for group_name, group in sorted(merged.groups.items()):
         for name, server in sorted(group.servers.items()):
-            first = seen.setdefault(server.address, f"{group_name}/{name}")
+            first = names_by_address.setdefault(
+                server.address, f"{group_name}/{name}"
+            )
             if first != f"{group_name}/{name}":
-                yield _Broken(
+                yield _Violation(
                     field=f"groups.{group_name}.servers.{name}.address",
                     problem=f"{server.address} is already {first}",
                     allowed="each address once in a service",
@@ -216,7 +234,7 @@
     for field, key in match_keys(merged.match):
         owner = matches.setdefault(key, path)
         if owner != path:
-            yield _Broken(
+            yield _Violation(
                 field=f"match.{field}",
                 problem=f"service {owner} has the same match: {key}",
                 allowed="a match that no other service has",
--- a/wigeonrouter/settings/_rules_test.py
+++ b/wigeonrouter/settings/_rules_test.py
@@ -1,4 +1,4 @@
-"""Guards against trees whose fields are right one by one but not together."""
+"""Guards against trees whose fields are valid one by one but not together."""
 
 import pytest
 
@@ -50,7 +50,7 @@
 )
 def test_each_rule_names_the_node_and_field_once(change, node, field):
     root = _tree()
-    # A node that inherits the mistake adds no error of its own.
+    # A node that inherits the invalid value must not report it again.
     root.children["a"].children["below"].SetInParent()
     assert _errors(root) == ()
     change(root)
@@ -59,7 +59,7 @@
     assert error.allowed
 
 
-def test_a_match_of_another_part_of_the_tree_is_taken():
+def test_a_match_of_a_service_outside_the_excerpt_is_rejected():
     (error,) = _errors(_tree(), matches={"host a": "/z"})
     assert "/z" in error.problem
 
@@ -90,7 +90,7 @@
     assert settings.locate_error(error=error, anchors=anchors).path == path
 
 
-def test_merging_along_the_way_equals_merging_each_node():
+def test_walking_the_tree_merges_like_merging_each_node():
     root = _tree()
     root.children["a"].children["x"].settings.limits.max_queue = 1
     walked = dict(settings.walk_effective(root))
@@ -100,7 +100,7 @@
         assert merged == settings.effective_settings(root=root, path=path)[0]
 
 
-def test_an_excerpt_holds_what_a_change_concerns():
+def test_an_excerpt_holds_what_a_change_affects():
     root = _tree()
     excerpt = settings.excerpt_tree(root=root, paths=["/a/new", "/a"])
     assert set(excerpt.children) == {"a"}
--- a/wigeonrouter/settings/_tree.py
+++ b/wigeonrouter/settings/_tree.py
@@ -7,13 +7,13 @@
 
 from wigeonrouter.schema import settings_pb2
 
-# These describe one node; children do not inherit them.
+# Fields of Settings that apply to one node and not to its children.
 NOT_INHERITED = frozenset(("match", "access"))
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class MissingNode:
-    """A path names a node that does not exist."""
+    """There is no node at a path."""
 
     path: str
 
@@ -22,12 +22,12 @@
 
 
 def split_path(path):
-    """Split a path such as ``/a/b`` into its names; ``/`` gives none."""
+    """Return the names of a path such as ``/a/b``; ``/`` has none."""
     return tuple(name for name in path.split("/") if name)
 
 
 def join_path(names):
-    """Return the path of the given names."""
+    """Return the path with the given names, the inverse of split_path."""
     return "/" + "/".join(names)
 
 
@@ -42,7 +42,7 @@
 
 
 def apply_changes(*, root, changes):
-    """Return a new tree with the changes applied.
+    """Return a copy of a tree with changes applied.
 
     Args:
       root: settings_pb2.Node; it is not modified.
@@ -58,10 +58,10 @@
 
 
 def apply_in_place(*, root, changes):
-    """Apply changes to a tree that the caller owns; see apply_changes.
+    """Apply changes to a tree without copying it; see apply_changes.
 
-    Copying a tree of 15,000 backend servers for each change would cost more
-    processor time than the change itself.
+    Copying a tree of 15,000 backend servers takes more processor time than
+    the change itself. The caller must own the tree.
     """
     for change in changes:
         names = split_path(change.path)
@@ -78,13 +78,14 @@
 
 
 def undo_change(*, root, change):
-    """Return the Change that takes back a change, or None.
+    """Return the Change that reverts a change.
 
     Args:
       root: settings_pb2.Node before the change.
       change: settings_pb2.Change.
     Returns:
-      A settings_pb2.Change, or None where the change does nothing.
+      A settings_pb2.Change, or None if the change removes a missing node and
+      so has no effect.
     """
     names = split_path(change.path)
     removal = change.WhichOneof("action") == "remove"
@@ -93,7 +94,7 @@
         if name not in node.children:
             if removal:
                 return None
-            # The change creates this node and all below it.
+            # The change creates this node and those below it.
             return settings_pb2.Change(
                 path=join_path(names[: depth + 1]), remove=True
             )
@@ -104,35 +105,35 @@
 
 
 def paths_overlap(first, second):
-    """Return whether one path is that of the other or of its ancestor."""
+    """Return whether two paths are equal or one is an ancestor's."""
     first, second = split_path(first), split_path(second)
     shorter = min(len(first), len(second))
     return first[:shorter] == second[:shorter]
 
 
 def effective_settings(*, root, path):
-    """Merge the settings of a node with all that it inherits.
+    """Merge the settings of a node with those that it inherits.
 
     Args:
       root: settings_pb2.Node.
       path: path of an existing node.
     Returns:
-      A pair: the merged settings_pb2.Settings, and a dict that gives for
-      each dotted field name the path of the node that set it.
+      A pair: the merged settings_pb2.Settings, and a dict from dotted field
+      name to the path of the node that sets the value.
     """
     merged = settings_pb2.Settings()
     origins = {}
     for origin, node, skipped in _inheritance(root, path):
         _merge(merged, node.settings, skipped)
-        _note_origins(node.settings, origin, origins, "", skipped)
+        _record_origins(node.settings, origin, origins, "", skipped)
     return merged, origins
 
 
 def merge_settings(*, root, path):
-    """Merge the settings of a node without origins; see effective_settings.
+    """Merge the settings of a node without their origins.
 
-    Noting origins takes most of the time, which a change of the root would
-    need for each of its services.
+    Recording the origins takes most of the time of effective_settings. A
+    change of the root has to merge the settings of every service.
     """
     merged = settings_pb2.Settings()
     for _, node, skipped in _inheritance(root, path):
@@ -143,7 +144,8 @@
 def walk_services(root, path="/"):
     """Yield (path, node) of each service at or below a path.
 
-    The order is depth first by name; a missing node has no services.
+    The order is depth first, by name. Yields nothing if there is no node at
+    the path.
     """
     start = find_node(root=root, path=path)
     pending = [] if start is None else [(split_path(path), start)]
@@ -158,8 +160,8 @@
 def walk_effective(root):
     """Yield (path, merged settings) of each node, parents first.
 
-    Merging along the way costs one merge per node, where calling
-    merge_settings for each would repeat those of the ancestors.
+    Takes one merge per node, while merge_settings merges all ancestors of a
+    node again.
     """
     pending = [((), root, settings_pb2.Settings())]
     while pending:
@@ -170,29 +172,34 @@
         yield join_path(names), merged
         if not node.children:
             continue
-        below = settings_pb2.Settings()
-        below.CopyFrom(merged)
+        inherited_below = settings_pb2.Settings()
+        inherited_below.CopyFrom(merged)
         for name in NOT_INHERITED:
-            below.ClearField(name)
+            inherited_below.ClearField(name)
         for name in sorted(node.children, reverse=True):
-            pending.append((names + (name,), node.children[name], below))
+            pending.append(
+                (names + (name,), node.children[name], inherited_below)
+            )
 
 
 def excerpt_tree(*, root, paths):
-    """Copy the part of a tree that a change at the given paths concerns.
+    """Copy the part of a tree that changes at the given paths affect.
 
-    Copying and checking a tree of 15,000 backend servers for each change
-    would cost more than the change.
+    Copying and checking a tree of 15,000 backend servers would take more
+    processor time than the change itself.
 
+    Args:
+      root: settings_pb2.Node.
+      paths: paths of the changed nodes.
     Returns:
-      A settings_pb2.Node with all at and below each path, and the settings
-      of the nodes above.
+      A settings_pb2.Node with the subtree at each path and the settings of
+      its ancestors.
     """
     excerpt = settings_pb2.Node()
-    whole = set()
+    copied = set()
     for path in sorted(paths, key=lambda path: len(split_path(path))):
         names = split_path(path)
-        if any(names[:depth] in whole for depth in range(len(names) + 1)):
+        if any(names[:depth] in copied for depth in range(len(names) + 1)):
             continue
         source, target = root, excerpt
         for name in names:
@@ -202,7 +209,7 @@
             source, target = source.children[name], target.children[name]
         else:
             target.CopyFrom(source)
-            whole.add(names)
+            copied.add(names)
     return excerpt
 
 
@@ -220,7 +227,7 @@
 
 
 def _inheritance(root, path):
-    """Yield (path, node, names of skipped fields) from the root to a node."""
+    """Yield (path, node, fields not to inherit) from the root to a node."""
     node, names = root, split_path(path)
     for depth in range(len(names) + 1):
         if depth:
@@ -230,9 +237,10 @@
 
 
 def _merge(target, source, skipped=frozenset()):
-    """Override fields of a message by those that another one sets.
+    """Merge the fields set in one message into another.
 
-    A part that the target does not have is copied as a whole.
+    Lists are replaced, and maps are merged by key. A submessage that the
+    target lacks is copied as a whole.
     """
     for field, value in source.ListFields():
         name = field.name
@@ -262,8 +270,16 @@
             target[key].CopyFrom(value)
 
 
-def _note_origins(source, origin, origins, prefix, skipped=frozenset()):
-    """Note the origin of each field that a message sets."""
+def _record_origins(source, origin, origins, prefix, skipped=frozenset()):
+    """Record the path of the node that sets each field of a message.
+
+    Args:
+      source: message whose fields are recorded.
+      origin: path of the node that holds it.
+      origins: dict from dotted field name to path; it is modified.
+      prefix: prefix of the field names, "" or ending in a dot.
+      skipped: names of the fields to leave out.
+    """
     for field, value in source.ListFields():
         if field.name in skipped:
             continue
@@ -271,14 +287,14 @@
         if _is_map(field):
             for key, item in value.items():
                 if hasattr(item, "ListFields"):
-                    _note_origins(item, origin, origins, f"{name}.{key}.")
+                    _record_origins(item, origin, origins, f"{name}.{key}.")
                 else:
                     origins[f"{name}.{key}"] = origin
         elif (
             field.type == descriptor.FieldDescriptor.TYPE_MESSAGE
             and not field.is_repeated
         ):
-            _note_origins(value, origin, origins, f"{name}.")
+            _record_origins(value, origin, origins, f"{name}.")
         else:
             origins[name] = origin
 
--- a/wigeonrouter/settings/_tree_test.py
+++ b/wigeonrouter/settings/_tree_test.py
@@ -1,4 +1,4 @@
-"""Guards against inheritance that loses or invents settings."""
+"""Guards against inheritance that drops or adds settings."""
 
 from wigeonrouter import settings
 from wigeonrouter.schema import settings_pb2
