--- a/wigeonrouter/administration/__init__.py
+++ b/wigeonrouter/administration/__init__.py
@@ -1,4 +1,4 @@
-"""Administration API: settings, status, entries, health."""
+"""HTTP API for administration, entry queries, health and metrics."""
 
 from wigeonrouter.administration import _app
 from wigeonrouter.administration import _auth
--- a/wigeonrouter/administration/_access.py
+++ b/wigeonrouter/administration/_access.py
@@ -1,4 +1,4 @@
-"""What a change needs to be authorised for, and what readers may see."""
+"""Authorisation of changes, and visibility of the tokens in the tree."""
 
 from wigeonrouter import settings
 from wigeonrouter.administration import _auth
@@ -6,11 +6,11 @@
 
 
 def required_rights(*, root, changes):
-    """Return the rights that a set of changes needs.
+    """Return the rights that a set of changes requires.
 
-    A change needs the role operator at its path, which covers all that it
-    replaces below. Wherever it adds, alters or removes tokens, it needs the
-    role admin at that node as well.
+    A change requires the role operator at its path, which covers the subtree
+    that it replaces. At each node whose tokens it adds, modifies or removes,
+    it requires the role admin as well.
 
     Args:
       root: settings_pb2.Node before the changes.
@@ -18,7 +18,7 @@
     Returns:
       A list of (Role, path).
     """
-    needed = [(_auth.Role.OPERATOR, change.path) for change in changes]
+    rights = [(_auth.Role.OPERATOR, change.path) for change in changes]
     before = settings.excerpt_tree(
         root=root, paths=[change.path for change in changes]
     )
@@ -29,45 +29,51 @@
         if old == new:
             continue
         if old.settings.access != new.settings.access:
-            needed.append((_auth.Role.ADMIN, settings.join_path(names)))
+            rights.append((_auth.Role.ADMIN, settings.join_path(names)))
         for name in {*old.children, *new.children}:
             pending.append(
                 (
                     (*names, name),
-                    _child(old, name),
-                    _child(new, name),
+                    _child_or_empty(old, name),
+                    _child_or_empty(new, name),
                 )
             )
-    return needed
+    return rights
 
 
 def keep_access(*, message, document, current):
-    """Carry over the tokens of nodes whose document leaves out ``access``.
+    """Copy the tokens of nodes whose document omits ``access``.
 
-    Readers do not see tokens, so a document that was read, edited and sent
-    back must not remove them.
+    Tokens are hidden from readers, so a document that was read, edited and
+    written back must not remove them.
 
     Args:
       message: settings_pb2.Node built from the document; it is modified.
       document: the decoded document.
-      current: settings_pb2.Node now in the tree, or None.
+      current: settings_pb2.Node in the tree now, or None.
     """
     pending = [(message, document, current)]
     while pending:
-        new, written, old = pending.pop()
+        new, node_document, old = pending.pop()
         if old is None:
             continue
         keep_settings_access(
             message=new.settings,
-            document=written.get("settings", {}),
+            document=node_document.get("settings", {}),
             current=old.settings,
         )
-        for name, child in written.get("children", {}).items():
+        for name, child in node_document.get("children", {}).items():
             pending.append((new.children[name], child, old.children.get(name)))
 
 
 def keep_settings_access(*, message, document, current):
-    """Do the same for the settings of one node; see keep_access."""
+    """Copy the tokens of one node if its document omits ``access``.
+
+    Args:
+      message: settings_pb2.Settings built from the document; it is modified.
+      document: the decoded document.
+      current: settings_pb2.Settings in the tree now.
+    """
     if "access" in document:
         return
     for name, token in current.access.items():
@@ -75,33 +81,46 @@
 
 
 def adopt_access(*, message, current):
-    """Give a restored node the tokens that the tree has now.
+    """Replace the tokens of a restored node by those in the tree now.
 
-    Restoring tokens along with settings would bring revoked ones back.
+    A rollback that restored tokens as well would make revoked tokens valid
+    again.
 
     Args:
       message: settings_pb2.Node of an earlier revision; it is modified.
-      current: settings_pb2.Node now in the tree, or None.
+      current: settings_pb2.Node in the tree now, or None.
     """
     pending = [(message, current)]
     while pending:
-        restored, now = pending.pop()
+        restored, current_node = pending.pop()
         if restored.HasField("settings"):
             restored.settings.ClearField("access")
-        if now is not None:
+        if current_node is not None:
             keep_settings_access(
-                message=restored.settings, document={}, current=now.settings
+                message=restored.settings,
+                document={},
+                current=current_node.settings,
             )
         for name, child in restored.children.items():
-            below = None if now is None else now.children.get(name)
+            below = (
+                None
+                if current_node is None
+                else current_node.children.get(name)
+            )
             pending.append((child, below))
 
 
 def redact_node(*, node, path, identity, pause=None):
-    """Return a copy of a node without the tokens of other teams.
+    """Return a copy of a node without the tokens that an identity may not see.
+
+    The tokens of a node are visible to its admins only.
 
-    Only admins of a node see its tokens. Between the nodes, pause is called
-    where it is given.
+    Args:
+      node: settings_pb2.Node.
+      path: path of the node.
+      identity: the Identity that reads it.
+      pause: function without arguments, called after each node, that lets
+        other tasks run, or None.
     """
     copy = settings_pb2.Node()
     copy.CopyFrom(node)
@@ -122,13 +141,23 @@
 
 
 def redact_settings(*, message, path, identity):
-    """Remove the tokens of one node's settings, unless for its admin."""
+    """Remove the tokens from the settings of a node unless for its admin.
+
+    Args:
+      message: settings_pb2.Settings; it is modified.
+      path: path of the node.
+      identity: the Identity that reads the settings.
+    """
     if not identity.may(role=_auth.Role.ADMIN, path=path):
         message.ClearField("access")
 
 
-def without_access(changes):
-    """Return copies of changes without any tokens, for comparison."""
+def strip_access(changes):
+    """Return a list of copies of the changes without tokens.
+
+    Changes are compared without them, since the tokens that a change keeps
+    depend on the tree at that time.
+    """
     copies = []
     for change in changes:
         copy = settings_pb2.Change()
@@ -146,7 +175,7 @@
     return copies
 
 
-def _child(node, name):
+def _child_or_empty(node, name):
     if name in node.children:
         return node.children[name]
     return settings_pb2.Node()
--- a/wigeonrouter/administration/_access_test.py
+++ b/wigeonrouter/administration/_access_test.py
@@ -1,4 +1,4 @@
-"""Guards against changes that reach beyond the rights of their token."""
+"""Guards against changes that exceed the rights of their token."""
 
 from hypothesis import given
 from hypothesis import HealthCheck
--- a/wigeonrouter/administration/_app.py
+++ b/wigeonrouter/administration/_app.py
@@ -1,4 +1,4 @@
-"""The administration API and the entry query, as a falcon application."""
+"""The falcon application of the administration API and the entry query."""
 
 import functools
 
@@ -24,7 +24,7 @@
     """Build the WSGI application.
 
     Args:
-      daemon: a Daemon; see wigeonrouter.daemon.
+      daemon: the daemon.Daemon that the API reads and changes.
     Returns:
       A falcon.App.
     """
@@ -42,40 +42,40 @@
 
 
 class _Resource:
-    """Serves the actions of one target."""
+    """Falcon resource that serves the actions of one target."""
 
     def __init__(self, *, context, actions):
         self._context = context
         for method, action in actions.items():
-            # falcon finds responders by these names.
+            # falcon looks responders up by these names.
             responder = functools.partial(self._respond, action)
             setattr(self, f"on_{method.lower()}", responder)
 
     def _respond(self, action, req, resp):
         identity = _identify(self._context.tokens, req)
         if identity is None:
-            _registry.write_problem(resp, self._explain_unknown_token())
+            _registry.write_problem(resp, self._describe_unknown_token())
             return
-        answer = action(
+        returned = action(
             _registry.Call(
                 context=self._context,
                 identity=identity,
                 req=req,
-                seen=self._context.replica.revision,
+                arrival_revision=self._context.replica.revision,
             )
         )
-        if not pipeline.is_successful(answer):
-            _registry.write_problem(resp, answer.failure())
+        if not pipeline.is_successful(returned):
+            _registry.write_problem(resp, returned.failure())
             return
-        reply = answer.unwrap()
-        if isinstance(reply, str):
+        content = returned.unwrap()
+        if isinstance(content, str):
             resp.content_type = falcon.MEDIA_JSON
-            resp.text = reply
+            resp.text = content
         else:
-            resp.media = reply
+            resp.media = content
 
-    def _explain_unknown_token(self):
-        # A daemon without configuration has not read all tokens.
+    def _describe_unknown_token(self):
+        # Without a configuration, the daemon knows only some of the tokens.
         if not self._context.daemon.configured:
             return _problems.Problem(
                 problem=_problems.NOT_READY,
--- a/wigeonrouter/administration/_app_test.py
+++ b/wigeonrouter/administration/_app_test.py
@@ -1,4 +1,4 @@
-"""Guards against changes and reads that the API must refuse, or vice versa."""
+"""Guards against requests that are wrongly accepted or rejected."""
 
 import dataclasses
 
@@ -33,7 +33,7 @@
         ("a-operator", "GET", "status", "/", 200),
     ],
 )
-def test_rights_end_at_the_subtree(
+def test_rights_apply_to_their_subtree_only(
     client, token, method, target, path, status
 ):
     params = {"from": 0} if target == "config/diff" else {}
@@ -56,9 +56,9 @@
         ("a-operator", "/a/x", _LIMIT, 200),
         ("a-reader", "/a/x", _LIMIT, 403),
         ("b-admin", "/a/x", _LIMIT, 403),
-        # The parent that does not exist yet is nobody's but the root's.
+        # Only the root has rights at a parent that does not exist yet.
         ("a-admin", "/c/x", _LIMIT, 403),
-        # Leaving out access keeps it; naming it needs the role admin.
+        # Omitting access keeps it; changing it requires the role admin.
         ("a-operator", "/a", {"children": {"x": {}}}, 200),
         ("a-operator", "/a", {"settings": {"access": {}}}, 403),
         ("a-admin", "/a", {"settings": {"access": {}}}, 200),
@@ -78,7 +78,7 @@
         ),
     ],
 )
-def test_a_change_is_authorised_for_all_that_it_replaces(
+def test_a_change_needs_rights_on_all_that_it_replaces(
     client, token, path, document, status
 ):
     response = client.put(path, document, token=token)
@@ -119,20 +119,20 @@
     assert client.daemon.replica.root == before
 
 
-def test_a_revoked_token_is_refused_at_once_and_rollback_does_not_revive_it(
+def test_a_revoked_token_is_rejected_at_once_and_not_restored_by_rollback(
     client,
 ):
     keep = {"settings": {"access": {"admin": conftest.access("admin", "a2")}}}
     keep["children"] = {"x": {}}
     assert client.put("/a", keep, token="a-admin").json["revision"] == 2
-    gone = client.send("GET", "/v1/config", token="a-operator", path="/a")
-    assert conftest.problem_name(gone) == "unauthenticated"
-    back = client.send(
+    rejected = client.send("GET", "/v1/config", token="a-operator", path="/a")
+    assert conftest.problem_name(rejected) == "unauthenticated"
+    rolled_back = client.send(
         "POST", "/v1/config/rollback", token="a2", path="/a", revision=1
     )
-    assert back.json["revision"] == 3
-    gone = client.send("GET", "/v1/config", token="a-operator", path="/a")
-    assert conftest.problem_name(gone) == "unauthenticated"
+    assert rolled_back.json["revision"] == 3
+    rejected = client.send("GET", "/v1/config", token="a-operator", path="/a")
+    assert conftest.problem_name(rejected) == "unauthenticated"
     assert "/a/x" in client.daemon.replica.services
 
 
@@ -157,7 +157,7 @@
 def test_an_undetermined_change_may_be_repeated(
     client, store_standin, monkeypatch
 ):
-    # The write takes effect, its reply and the reading back are lost.
+    # The write takes effect; its response and the read that follows fail.
     def lose_reply_and_go_down(**kwargs):
         swap(**kwargs)
         store_standin.inject(store_pb2.FaultCall(down=True))
@@ -188,17 +188,17 @@
     )
     assert response.json["revision"] == 2
     assert set(client.daemon.replica.services) == {"/a/y"}
-    refused = client.send(
+    denied = client.send(
         "POST",
         "/v1/config/changes",
         token="a-admin",
         body={"changes": [changes[0], {"path": "/b", "remove": True}]},
     )
-    assert conftest.problem_name(refused) == "forbidden"
+    assert conftest.problem_name(denied) == "forbidden"
 
 
 @pytest.mark.parametrize(
-    ("path", "document", "where"),
+    ("path", "document", "json_path"),
     [
         (
             "/a/z",
@@ -217,8 +217,8 @@
         ),
     ],
 )
-def test_errors_that_need_the_tree_name_the_place(
-    client, path, document, where
+def test_errors_that_need_the_tree_have_a_json_path(
+    client, path, document, json_path
 ):
     for method, target in (
         ("PUT", "/v1/config"),
@@ -226,7 +226,9 @@
     ):
         response = client.send(method, target, path=path, body=document)
         assert conftest.problem_name(response) == "invalid-document"
-        assert [error["path"] for error in response.json["errors"]] == [where]
+        assert [error["path"] for error in response.json["errors"]] == [
+            json_path
+        ]
 
 
 def test_diff_and_rollback_between_retained_revisions(client):
@@ -237,17 +239,19 @@
     fields = {d["field"]: d for d in reply.json["differences"]}
     assert fields["limits.max_queue"]["before"] is None
     assert fields["limits.max_queue"]["after"] == 3
-    back = client.send("POST", "/v1/config/rollback", path="/a/x", revision=1)
-    assert back.json["revision"] == 3
+    rolled_back = client.send(
+        "POST", "/v1/config/rollback", path="/a/x", revision=1
+    )
+    assert rolled_back.json["revision"] == 3
     reply = client.send(
         "GET", "/v1/config/diff", path="/", **{"from": 1, "to": 3}
     )
     assert reply.json["differences"] == []
     for revision in (4, 2**62):
-        refused = client.send(
+        denied = client.send(
             "POST", "/v1/config/rollback", path="/", revision=revision
         )
-        assert conftest.problem_name(refused) == "revision-not-retained"
+        assert conftest.problem_name(denied) == "revision-not-retained"
 
 
 def test_effective_settings_name_the_origin(client):
@@ -264,8 +268,8 @@
     store_standin.inject(store_pb2.FaultCall(down=True))
     target = "/v1/drain"
     address = "127.0.0.1:7001"
-    refused = client.send("POST", target, token="b-admin", address=address)
-    assert conftest.problem_name(refused) == "forbidden"
+    denied = client.send("POST", target, token="b-admin", address=address)
+    assert conftest.problem_name(denied) == "forbidden"
     unknown = client.send("POST", target, address="127.0.0.1:9")
     assert conftest.problem_name(unknown) == "no-backend-server"
     reply = client.send("POST", target, token="a-operator", address=address)
@@ -273,7 +277,7 @@
     assert client.daemon.drained == [(address, True, "/a#operator")]
 
 
-def test_a_reload_rolls_the_bootstrap_token(client):
+def test_a_reload_replaces_the_bootstrap_token(client):
     client.daemon.settings = dataclasses.replace(
         client.daemon.settings,
         bootstrap_token_sha256=administration.hash_token("new-root"),
@@ -288,7 +292,7 @@
     assert [row["service"] for row in reply.json["requests"]] == ["/a/x"]
 
 
-def test_racing_operators_get_one_winner(client):
+def test_only_one_of_two_concurrent_changes_is_accepted(client):
     tasks = [
         gevent.spawn(client.put, "/a/x", _LIMIT, change_id=name, base=1)
         for name in ("one", "two")
@@ -297,14 +301,18 @@
     assert sorted(task.get().status_code for task in tasks) == [200, 409]
 
 
-def test_a_daemon_that_is_not_ready_does_not_call_tokens_unknown(client):
+def test_a_daemon_that_is_not_ready_does_not_report_tokens_as_unknown(client):
     client.daemon.ready = client.daemon.configured = False
     response = client.send("GET", "/v1/status", token="new")
     assert conftest.problem_name(response) == "not-ready"
 
 
 def test_tokens_revoked_during_a_long_check_stay_revoked(client, monkeypatch):
-    """Guards against a change that restores tokens it read too early."""
+    """Guards against a change that restores tokens revoked meanwhile.
+
+    The tokens that a change keeps are copied before the check of the rules,
+    during which another change may revoke them.
+    """
     revoke = {"settings": {"access": {}}, "children": {"x": {}}}
 
     def revoke_meanwhile(**kwargs):
@@ -318,8 +326,13 @@
     assert not client.daemon.replica.root.children["a"].settings.access
 
 
-def test_racing_services_with_one_match_get_one_winner(client, monkeypatch):
-    """Guards against two services that each were checked before the other."""
+def test_only_one_of_two_concurrent_services_with_one_match_is_accepted(
+    client, monkeypatch
+):
+    """Guards against two services with one match, created concurrently.
+
+    Each is checked before the other is committed.
+    """
     rival = conftest.service("same", 7005)
 
     def create_rival_meanwhile(**kwargs):
--- a/wigeonrouter/administration/_auth.py
+++ b/wigeonrouter/administration/_auth.py
@@ -1,4 +1,4 @@
-"""Bearer tokens and roles per subtree."""
+"""Authentication by bearer tokens, and roles for subtrees."""
 
 import dataclasses
 import enum
@@ -9,7 +9,7 @@
 
 
 class Role(enum.IntEnum):
-    """What a token may do; each role includes the ones before it."""
+    """Permissions of a token; each role includes those of lower value."""
 
     READER = 1
     OPERATOR = 2
@@ -18,11 +18,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Identity:
-    """Who a token stands for.
+    """The owner of a token and its rights.
 
     Attributes:
-      name: path and name of the token, which the log keeps as author.
-      rights: tuple of (path, Role).
+      name: path and name of the token; the author in the log of changes.
+      rights: tuple of (path, Role); a role applies to the whole subtree.
     """
 
     name: str
@@ -39,29 +39,28 @@
 
 
 class TokenIndex:
-    """Finds identities by token hash.
+    """Index of identities by the hash of their token.
 
-    The tree of the target size has 1,700 services; walking it for each
-    request would cost milliseconds of a core that also serves callers. The
-    index follows the replica and re-reads only what changed.
+    The tree of the target size has 1,700 services. Walking it for each
+    request would take milliseconds of a core that also serves callers, so the
+    index follows the revisions of the replica and reads changed subtrees
+    only.
     """
 
     def __init__(self, *, replica, bootstrap_sha256):
         self._replica = replica
         self._bootstrap_sha256 = bootstrap_sha256
         self._revision = None
-        # Dict from path to the (sha256, Role, name) of the tokens there.
+        # Dict from path of a node to a tuple of (sha256, Role, name).
         self._by_path = {}
         # Dict from sha256 to Identity.
         self._identities = {}
 
     def identify(self, token):
-        """Find out whose token this is.
+        """Return the Identity of a token, or None if it is unknown.
 
         Args:
-          token: text that the operator sent.
-        Returns:
-          An Identity, or None where the token is not known.
+          token: str that the operator sent.
         """
         digest = hash_token(token)
         bootstrap = self._bootstrap_sha256
@@ -81,18 +80,18 @@
         else:
             paths = {c.path for entry in entries for c in entry.changes}
         for path in paths:
-            self._read(path)
+            self._read_tokens(path)
         self._revision = self._replica.revision
-        self._group()
+        self._build_identities()
 
-    def _read(self, path):
-        """Read the tokens at and below a path anew."""
-        above = settings.split_path(path)
+    def _read_tokens(self, path):
+        """Read the tokens at and below a path again."""
+        names_above = settings.split_path(path)
         for known in list(self._by_path):
-            if settings.split_path(known)[: len(above)] == above:
+            if settings.split_path(known)[: len(names_above)] == names_above:
                 del self._by_path[known]
         node = settings.find_node(root=self._replica.root, path=path)
-        pending = [] if node is None else [(above, node)]
+        pending = [] if node is None else [(names_above, node)]
         while pending:
             names, node = pending.pop()
             if node.HasField("settings") and node.settings.access:
@@ -103,7 +102,7 @@
             for name, child in node.children.items():
                 pending.append(((*names, name), child))
 
-    def _group(self):
+    def _build_identities(self):
         rights, names = {}, {}
         for path, tokens in sorted(self._by_path.items()):
             for digest, role, name in tokens:
@@ -116,5 +115,5 @@
 
 
 def hash_token(token):
-    """Return the SHA-256 of a token, as settings hold it."""
+    """Return the SHA-256 of a token in hexadecimal, as in the settings."""
     return hashlib.sha256(token.encode(errors="replace")).hexdigest()
--- a/wigeonrouter/administration/_changes.py
+++ b/wigeonrouter/administration/_changes.py
@@ -1,4 +1,4 @@
-"""Reads the changes of a request from its body and checks them."""
+"""Parses the changes in a request body and validates them."""
 
 from returns import pipeline
 from returns import result
@@ -10,19 +10,23 @@
 from wigeonrouter.administration import _registry
 from wigeonrouter.schema import settings_pb2
 
-# One revision has to fit into one value of the store.
+# Changes in one request. All changes of a revision are stored as one value of
+# the store.
 MAX_CHANGES = 1000
 _ACTIONS = ("node", "settings", "remove")
 
 
 def read_change(call, path):
-    """Read the change of a body that holds one node or its settings.
+    """Parse and validate a body that holds one node or its settings.
 
-    The parameter ``only=settings`` says that the document holds settings.
+    With the query parameter ``only=settings`` the body holds settings.
 
+    Args:
+      call: a Call.
+      path: path of the changed node.
     Returns:
-      Success(settings_pb2.Change) with the tokens that the node keeps, or
-      Failure(Problem).
+      Success(settings_pb2.Change), including the tokens that the node keeps,
+      or Failure(Problem).
     """
     settings_only = call.req.get_param("only", default="node") == "settings"
     anchor = settings.Anchor(path=path, settings_only=settings_only)
@@ -37,7 +41,7 @@
 
 
 def read_changes(call):
-    """Read a body that holds several changes of one revision.
+    """Parse and validate a body that holds several changes.
 
     Returns:
       Success(tuple of settings_pb2.Change), or Failure(Problem).
@@ -71,11 +75,12 @@
 
 
 def check_changes(call, changes, anchors):
-    """Check what a tree would be after the changes.
+    """Check the rules on the tree that the changes would result in.
 
     Args:
+      call: a Call.
       changes: tuple of settings_pb2.Change.
-      anchors: the settings.Anchors that locate errors.
+      anchors: the settings.Anchors that locate errors in the document.
     Returns:
       Success(None), or Failure(Problem).
     """
@@ -85,8 +90,8 @@
     errors = settings.check_rules(
         root=root,
         policies=selection.policy_names(),
-        matches=_matches_elsewhere(call.context.matches, paths),
-        pause=_registry.Pacer().pause,
+        matches=_matches_outside(call.context.matches, paths),
+        pause=_registry.TimeSlice().pause,
     )
     if not errors:
         return result.Success(None)
@@ -100,8 +105,8 @@
     )
 
 
-def _matches_elsewhere(matches, paths):
-    """Return the matches of services that no change can alter."""
+def _matches_outside(matches, paths):
+    """Return the matches of the services outside of the changed subtrees."""
     prefixes = tuple(f"{path.rstrip('/')}/" for path in paths)
     return {
         key: service
@@ -111,18 +116,26 @@
 
 
 def _build_item(call, item, prefix):
-    """Return Success((Anchor, Change)) of one item, or Failure(Problem)."""
+    """Parse one item of a list of changes.
+
+    Args:
+      call: a Call.
+      item: the decoded item.
+      prefix: JSON path of the item.
+    Returns:
+      Success((Anchor, Change)), or Failure(Problem).
+    """
     if not isinstance(item, dict) or not isinstance(item.get("path"), str):
         return _invalid(prefix, "no object with a path", "path and one action")
-    given = sorted(key for key in item if key != "path")
-    if len(given) != 1 or given[0] not in _ACTIONS:
+    actions = sorted(key for key in item if key != "path")
+    if len(actions) != 1 or actions[0] not in _ACTIONS:
         return _invalid(
             prefix,
-            f"{len(given)} further keys",
+            f"{len(actions)} further keys",
             "exactly one of " + ", ".join(_ACTIONS),
         )
     path = call.check_path(item["path"], f"{prefix}.path")
-    name = given[0]
+    name = actions[0]
     anchor = settings.Anchor(
         path=path,
         prefix=f"{prefix}.{name}",
@@ -150,7 +163,7 @@
     built = settings.build_message(
         document=document,
         message_type=message_type,
-        pause=_registry.Pacer().pause,
+        pause=_registry.TimeSlice().pause,
     )
     if not pipeline.is_successful(built):
         return result.Failure(
--- a/wigeonrouter/administration/_diff.py
+++ b/wigeonrouter/administration/_diff.py
@@ -1,4 +1,4 @@
-"""Compares two trees field by field."""
+"""Computes the differences between two trees, field by field."""
 
 import dataclasses
 import itertools
@@ -9,19 +9,19 @@
 from wigeonrouter import settings
 from wigeonrouter.schema import settings_pb2
 
-# Bounds the reply where two trees have little in common.
+# Limits the size of the response for trees that have little in common.
 MAX_DIFFERENCES = 5000
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Difference:
-    """One field that differs.
+    """One field with different values.
 
     Attributes:
       path: path of the node.
       field: dotted name of the field; "" for the node itself.
-      before: JSON value, None where it is absent.
-      after: JSON value, None where it is absent.
+      before: JSON value in the first tree, None if absent.
+      after: JSON value in the second tree, None if absent.
     """
 
     path: str
@@ -31,14 +31,15 @@
 
 
 def compare_nodes(*, before, after, path):
-    """Compare two nodes and all below them.
+    """Compare two subtrees.
 
     Args:
-      before: settings_pb2.Node, or None where there is none.
-      after: the same.
+      before: settings_pb2.Node, or None if there is no node.
+      after: settings_pb2.Node, or None if there is no node.
       path: path of both.
     Returns:
-      A tuple of at most MAX_DIFFERENCES + 1 Difference, ordered by path.
+      A tuple of at most MAX_DIFFERENCES + 1 Difference, ordered by path. The
+      additional one shows that there are more than MAX_DIFFERENCES.
     """
     found = _compare_trees(before, after, settings.split_path(path))
     return tuple(itertools.islice(found, MAX_DIFFERENCES + 1))
@@ -48,7 +49,7 @@
     pending = [(names, before, after)]
     while pending:
         names, old, new = pending.pop()
-        # Comparing whole messages in C skips what is equal.
+        # Skips equal subtrees fast: protobuf compares messages in C.
         if old == new:
             continue
         path = settings.join_path(names)
@@ -61,8 +62,12 @@
             )
         old = settings_pb2.Node() if old is None else old
         new = settings_pb2.Node() if new is None else new
-        for field, was, became in _compare(old.settings, new.settings, ""):
-            yield Difference(path=path, field=field, before=was, after=became)
+        for field, old_value, new_value in _compare(
+            old.settings, new.settings, ""
+        ):
+            yield Difference(
+                path=path, field=field, before=old_value, after=new_value
+            )
         for name in sorted({*old.children, *new.children}, reverse=True):
             pending.append(
                 (
@@ -74,35 +79,40 @@
 
 
 def _compare(old, new, prefix):
-    """Yield (dotted field, before, after) of two messages of one type."""
+    """Yield (dotted field, before, after) for two messages of one type."""
     for field in old.DESCRIPTOR.fields:
         name = f"{prefix}{field.name}"
-        was, became = getattr(old, field.name), getattr(new, field.name)
+        old_value, new_value = (
+            getattr(old, field.name),
+            getattr(new, field.name),
+        )
         if field.type == descriptor.FieldDescriptor.TYPE_MESSAGE:
             if field.message_type.GetOptions().map_entry:
-                yield from _compare_maps(was, became, f"{name}.")
-            elif was != became:
-                yield from _compare(was, became, f"{name}.")
+                yield from _compare_maps(old_value, new_value, f"{name}.")
+            elif old_value != new_value:
+                yield from _compare(old_value, new_value, f"{name}.")
         elif field.is_repeated:
-            if list(was) != list(became):
-                yield name, list(was) or None, list(became) or None
+            if list(old_value) != list(new_value):
+                yield name, list(old_value) or None, list(new_value) or None
         else:
-            was = was if old.HasField(field.name) else None
-            became = became if new.HasField(field.name) else None
-            if was != became:
-                yield name, was, became
+            old_value = old_value if old.HasField(field.name) else None
+            new_value = new_value if new.HasField(field.name) else None
+            if old_value != new_value:
+                yield name, old_value, new_value
 
 
 def _compare_maps(old, new, prefix):
     for key in sorted({*old, *new}):
-        was = old[key] if key in old else None
-        became = new[key] if key in new else None
-        if was == became:
+        old_value = old[key] if key in old else None
+        new_value = new[key] if key in new else None
+        if old_value == new_value:
             continue
-        if hasattr(was, "ListFields") and hasattr(became, "ListFields"):
-            yield from _compare(was, became, f"{prefix}{key}.")
+        if hasattr(old_value, "ListFields") and hasattr(
+            new_value, "ListFields"
+        ):
+            yield from _compare(old_value, new_value, f"{prefix}{key}.")
         else:
-            yield f"{prefix}{key}", _to_json(was), _to_json(became)
+            yield f"{prefix}{key}", _to_json(old_value), _to_json(new_value)
 
 
 def _to_json(value):
--- a/wigeonrouter/administration/_entries.py
+++ b/wigeonrouter/administration/_entries.py
@@ -1,4 +1,4 @@
-"""The entry query of callers, and health: no token is needed."""
+"""Resources without authentication: entry query, health and metrics."""
 
 import falcon
 
@@ -10,14 +10,14 @@
 
 
 class Health:
-    """Says that the process answers."""
+    """Liveness check: succeeds whenever the process can respond."""
 
     def on_get(self, req, resp):
         resp.media = {"status": "ok"}
 
 
 class Ready:
-    """Says whether the daemon has a configuration and serves."""
+    """Readiness check: status 503 unless callers may be sent here."""
 
     def __init__(self, *, daemon):
         self._daemon = daemon
@@ -29,7 +29,7 @@
 
 
 class Metrics:
-    """Shows the metrics in the Prometheus text format."""
+    """Returns the metrics in the Prometheus text format."""
 
     def __init__(self, *, daemon):
         self._daemon = daemon
@@ -40,7 +40,7 @@
 
 
 class Entries:
-    """Tells callers which addresses to use."""
+    """Entry query: returns the daemons that a caller should use."""
 
     def __init__(self, *, daemon):
         self._daemon = daemon
--- a/wigeonrouter/administration/_problems.py
+++ b/wigeonrouter/administration/_problems.py
@@ -1,4 +1,4 @@
-"""Problem types of the administration API."""
+"""Problem types (RFC 9457) of the administration API."""
 
 import dataclasses
 
@@ -8,12 +8,13 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class ApiProblem:
-    """A documented kind of refusal.
+class ProblemType:
+    """A documented type of problem.
 
     Attributes:
-      name: last part of the problem type; it never changes its meaning.
-      status: HTTP status.
+      name: last part of the problem type URN; its meaning never changes.
+      title: summary of the type, the same for each occurrence.
+      status: HTTP status code of the response.
     """
 
     name: str
@@ -23,19 +24,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Problem:
-    """A refusal that occurred.
+    """One occurrence of a problem.
 
     Attributes:
-      members: further members of the problem details, such as revisions.
+      problem: its type.
+      detail: explanation of this occurrence.
+      members: additional members of the problem details, such as revisions.
     """
 
-    problem: ApiProblem
+    problem: ProblemType
     detail: str
     members: dict = dataclasses.field(default_factory=dict)
 
 
 def _define(name, status, title):
-    return ApiProblem(name=name, title=title, status=status)
+    return ProblemType(name=name, title=title, status=status)
 
 
 BAD_PARAMETER = _define("bad-parameter", 400, "A parameter is not accepted")
@@ -82,12 +85,12 @@
 )
 
 ALL = tuple(
-    value for value in list(globals().values()) if type(value) is ApiProblem
+    value for value in list(globals().values()) if type(value) is ProblemType
 )
 
 
 def render(problem):
-    """Return the problem details of a Problem as a dict, see RFC 9457."""
+    """Return the problem details (RFC 9457) of a Problem as a dict."""
     return {
         "type": f"{URN_PREFIX}{problem.problem.name}",
         "title": problem.problem.title,
--- a/wigeonrouter/administration/_problems_test.py
+++ b/wigeonrouter/administration/_problems_test.py
@@ -1,4 +1,4 @@
-"""Guards against problem types that change without their documentation."""
+"""Guards against problem types that differ from their documentation."""
 
 import pathlib
 
--- a/wigeonrouter/administration/_read.py
+++ b/wigeonrouter/administration/_read.py
@@ -1,4 +1,4 @@
-"""Actions that read: settings, history, differences and status."""
+"""Actions that read settings, history, differences and status."""
 
 import dataclasses
 import json
@@ -15,28 +15,28 @@
 from wigeonrouter.administration import _problems
 from wigeonrouter.administration import _registry
 
-MAX_HISTORY = 1024
+MAX_HISTORY_ENTRIES = 1024
 _READER = _auth.Role.READER
 
 
 @_registry.action(method="GET", target="/v1/config")
 def show(call):
     """Return the node at a path."""
-    return _node_at(call).map(lambda node: _encode_reply(call, node))
+    return _node_at(call).map(lambda node: _encode_response(call, node))
 
 
 @_registry.action(method="GET", target="/v1/config/effective")
 def effective(call):
-    """Return the settings of a node with all that it inherits."""
-    return _node_at(call).map(lambda _: _effective(call))
+    """Return the settings of a node including those that it inherits."""
+    return _node_at(call).map(lambda _: _render_effective(call))
 
 
 @_registry.action(method="GET", target="/v1/config/history")
 def history(call):
-    """Return the retained revisions that concern a path, newest first."""
+    """Return the retained revisions that affect a path, newest first."""
     path = call.path
     limit = call.req.get_param_as_int(
-        "limit", default=50, min_value=1, max_value=MAX_HISTORY
+        "limit", default=50, min_value=1, max_value=MAX_HISTORY_ENTRIES
     )
     return call.authorize([(_READER, path)]).map(
         lambda _: {
@@ -49,7 +49,7 @@
 
 @_registry.action(method="GET", target="/v1/config/diff")
 def diff_revisions(call):
-    """Return what differs at a path between two retained revisions."""
+    """Return the differences at a path between two retained revisions."""
     path = call.path
     revisions = (
         call.revision("from"),
@@ -60,7 +60,7 @@
         return authorized
     nodes = []
     for revision in revisions:
-        found = find_earlier_node(call, path, revision)
+        found = find_node_at_revision(call, path, revision)
         if not pipeline.is_successful(found):
             return found
         nodes.append(found.unwrap())
@@ -69,7 +69,7 @@
 
 @_registry.action(method="POST", target="/v1/config/diff")
 def diff_document(call):
-    """Return what a document would change at a path."""
+    """Return the differences that a document would make at a path."""
     path = call.path
     authorized = call.authorize([(_READER, path)])
     if not pipeline.is_successful(authorized):
@@ -94,7 +94,10 @@
 
 @_registry.action(method="GET", target="/v1/status")
 def status(call):
-    """Return the daemon's state and the traffic of readable services."""
+    """Return the state of the daemon and the traffic of its services.
+
+    Services that the identity may not read are left out.
+    """
     daemon = call.context.daemon
     return result.Success(
         {
@@ -120,12 +123,12 @@
     )
 
 
-def find_earlier_node(call, path, revision):
-    """Find a node as it was at a retained revision.
+def find_node_at_revision(call, path, revision):
+    """Return a node as of a retained revision.
 
     Returns:
-      Success(settings_pb2.Node that the caller owns, or None where there was
-      no node), or Failure(Problem).
+      Success(settings_pb2.Node), which the caller may modify; Success(None)
+      if the node did not exist; or Failure(Problem).
     """
     replica = call.context.replica
     retained, node = replica.node_at(path=path, revision=revision)
@@ -143,7 +146,7 @@
 
 
 def _oldest_revision(replica):
-    """Return the oldest revision that can be compared and restored."""
+    """Return the oldest revision available for comparison and rollback."""
     entries = replica.history()
     return entries[0].revision - 1 if entries else replica.revision
 
@@ -163,11 +166,11 @@
     return result.Success(node)
 
 
-def _effective(call):
+def _render_effective(call):
     path, replica = call.path, call.context.replica
     merged, origins = settings.effective_settings(root=replica.root, path=path)
     _access.redact_settings(message=merged, path=path, identity=call.identity)
-    reply = {
+    response = {
         "revision": replica.revision,
         "path": path,
         "settings": _to_dict(merged),
@@ -179,14 +182,14 @@
     }
     service = replica.services.get(path)
     if service is not None:
-        # With the defaults of the code, in seconds.
-        reply["in_force"] = {
+        # Includes the built-in defaults; times are in seconds.
+        response["in_force"] = {
             "routing": dataclasses.asdict(service.routing),
             "limits": dataclasses.asdict(service.limits),
             "retries": dataclasses.asdict(service.retries),
             "health": dataclasses.asdict(service.health),
         }
-    return reply
+    return response
 
 
 def _describe_entries(call, path, limit):
@@ -233,20 +236,20 @@
     }
 
 
-def _encode_reply(call, node):
-    pause = _registry.Pacer().pause
+def _encode_response(call, node):
+    pause = _registry.TimeSlice().pause
     path = call.path
     visible = _access.redact_node(
         node=node, path=path, identity=call.identity, pause=pause
     )
     return (
-        f'{{"revision": {call.seen}, "path": {json.dumps(path)}, '
+        f'{{"revision": {call.arrival_revision}, "path": {json.dumps(path)}, '
         f'"node": {_encode_node(visible, pause)}}}'
     )
 
 
 def _encode_node(node, pause):
-    """Encode a node as JSON, letting other tasks run between the nodes."""
+    """Encode a node as JSON, calling pause for each node."""
     parts = []
     if node.HasField("settings"):
         parts.append(f'"settings": {json.dumps(_to_dict(node.settings))}')
--- a/wigeonrouter/administration/_registry.py
+++ b/wigeonrouter/administration/_registry.py
@@ -1,4 +1,4 @@
-"""Registry of the actions of the API, and what an action gets."""
+"""Registry of the API's actions, and the context passed to an action."""
 
 import dataclasses
 import json
@@ -14,20 +14,20 @@
 from wigeonrouter.administration import _problems
 
 _NODE_NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
-# Longest time for which a computation keeps other tasks waiting, give or
-# take one node of the tree.
-MAX_TURN_S = 0.001
+# Longest time for which a computation delays other tasks, plus the time for
+# one node of the tree.
+MAX_TIME_SLICE_S = 0.001
 _ACTIONS = {}
 
 
 class Context:
-    """What actions share: the daemon and the indexes built from its tree."""
+    """State shared by all actions: the daemon and indexes of its tree."""
 
     def __init__(self, *, daemon):
         self._daemon = daemon
         self._bootstrap_sha256 = None
         self._tokens = None
-        self._matches_of = None
+        self._matched_services = None
         self._matches = {}
 
     @property
@@ -42,12 +42,12 @@
 
     @property
     def tokens(self):
-        """The TokenIndex; a reload can change the bootstrap token."""
-        wanted = self._daemon.settings.bootstrap_token_sha256
-        if self._tokens is None or self._bootstrap_sha256 != wanted:
-            self._bootstrap_sha256 = wanted
+        """The TokenIndex, rebuilt if a reload changed the bootstrap token."""
+        sha256 = self._daemon.settings.bootstrap_token_sha256
+        if self._tokens is None or self._bootstrap_sha256 != sha256:
+            self._bootstrap_sha256 = sha256
             self._tokens = _auth.TokenIndex(
-                replica=self.replica, bootstrap_sha256=wanted
+                replica=self.replica, bootstrap_sha256=sha256
             )
         return self._tokens
 
@@ -55,42 +55,48 @@
     def matches(self):
         """Dict from match key to service path, see settings.match_keys."""
         services = self.replica.services
-        if self._matches_of is not services:
+        if self._matched_services is not services:
             self._matches = {
                 key: path
                 for path, service in services.items()
                 for _, key in settings.match_keys(service.match)
             }
-            self._matches_of = services
+            self._matched_services = services
         return self._matches
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Call:
-    """One authenticated request.
+    """An authenticated request to an action.
 
     Attributes:
-      seen: revision of the replica when the request arrived. Checks may let
-        other tasks run, after which the replica may have advanced.
+      context: the Context.
+      identity: the Identity that sent the request.
       req: falcon.Request; its parameter methods raise falcon.HTTPError,
         which the application renders as problem details.
+      arrival_revision: revision of the replica when the request arrived.
+        Validation lets other tasks run, so the replica may have advanced
+        since.
     """
 
     context: Context
     identity: _auth.Identity
     req: falcon.Request
-    seen: int
+    arrival_revision: int
 
     @property
     def path(self):
-        """Canonical form of the parameter ``path``."""
+        """Canonical form of the query parameter ``path``."""
         return self.check_path(self.req.get_param("path", default="/"))
 
     def check_path(self, path, name="path"):
         """Return the canonical form of a path in the tree.
 
+        Args:
+          path: path sent by the operator.
+          name: parameter or JSON path that holds it, for the error.
         Raises:
-          falcon.HTTPInvalidParam: it is not the path of a node.
+          falcon.HTTPInvalidParam: the path is malformed or too deep.
         """
         names = settings.split_path(path)
         if not path.startswith("/") or not all(
@@ -106,7 +112,12 @@
         return settings.join_path(names)
 
     def revision(self, name, *, default=None):
-        """Return a parameter that holds a revision."""
+        """Return a query parameter that holds a revision.
+
+        Args:
+          name: name of the parameter.
+          default: revision if it is missing; None makes it required.
+        """
         return self.req.get_param_as_int(
             name,
             required=default is None,
@@ -115,15 +126,16 @@
             max_value=2**63 - 1,
         )
 
-    def authorize(self, needed):
-        """Check rights.
+    def authorize(self, required_rights):
+        """Check that the identity has rights.
 
         Args:
-          needed: an iterable of (Role, path).
+          required_rights: an iterable of (Role, path).
         Returns:
-          Success(None), or Failure(Problem) naming the missing right.
+          Success(None), or Failure(Problem) that names the first missing
+          right.
         """
-        for role, path in needed:
+        for role, path in required_rights:
             if not self.identity.may(role=role, path=path):
                 return result.Failure(
                     _problems.Problem(
@@ -136,7 +148,7 @@
         return result.Success(None)
 
     def body(self):
-        """Return Success(bytes of the body), or Failure(Problem)."""
+        """Read the body; return Success(bytes) or Failure(Problem)."""
         length = self.req.content_length
         limit = settings.MAX_DOCUMENT_BYTES
         if length is None:
@@ -151,32 +163,32 @@
         return result.Success(self.req.bounded_stream.read())
 
     def document(self):
-        """Return Success(decoded JSON body), or Failure(Problem)."""
+        """Decode the JSON body; return Success(value) or Failure(Problem)."""
         return self.body().bind(
             lambda body: settings.decode_document(body).alt(invalid_document)
         )
 
 
-class Pacer:
-    """Lets other tasks run during long computations.
+class TimeSlice:
+    """Time slice of a long computation that yields to other greenlets.
 
-    The daemon serves callers in the same thread; a computation of a quarter
-    of a second would delay all of their requests.
+    The daemon serves callers in the same thread. A computation of a quarter
+    of a second without yielding would delay all of their requests.
     """
 
     def __init__(self, *, clock=time.monotonic):
         self._clock = clock
-        self._resumed = clock()
+        self._started = clock()
 
     def pause(self):
-        """Let other tasks run where MAX_TURN_S have passed."""
-        if self._clock() - self._resumed >= MAX_TURN_S:
+        """Yield if MAX_TIME_SLICE_S have passed since the last yield."""
+        if self._clock() - self._started >= MAX_TIME_SLICE_S:
             gevent.sleep(0)
-            self._resumed = self._clock()
+            self._started = self._clock()
 
 
 def invalid_document(errors):
-    """Return the Problem of a tuple of settings.DocumentError."""
+    """Return the Problem for a non-empty tuple of settings.DocumentError."""
     return _problems.Problem(
         problem=_problems.INVALID_DOCUMENT,
         detail=f"the document has errors, the first at {errors[0].path}",
@@ -185,7 +197,12 @@
 
 
 def too_large(*, size, limit):
-    """Return the Problem of a body or change that is too large."""
+    """Return the Problem for a body or change that is too large.
+
+    Args:
+      size: its size in bytes.
+      limit: accepted size in bytes.
+    """
     return _problems.Problem(
         problem=_problems.TOO_LARGE,
         detail=f"{size} bytes, at most {limit} are accepted",
@@ -194,10 +211,14 @@
 
 
 def action(*, method, target):
-    """Register the decorated function as an action.
+    """Register the decorated function as the action of a method and target.
+
+    An action takes a Call and returns Success(dict), which is sent as JSON,
+    Success(str), which is JSON already, or Failure(Problem).
 
-    An action is called with a Call and returns Success(dict), which becomes
-    the JSON reply, Success(JSON text), or Failure(Problem).
+    Args:
+      method: HTTP method.
+      target: path of the resource.
     """
 
     def register(function):
@@ -208,12 +229,12 @@
 
 
 def actions():
-    """Return a dict from target to a dict from method to action."""
+    """Return the registered actions as a dict {target: {method: action}}."""
     return _ACTIONS
 
 
 def write_problem(resp, problem):
-    """Make a falcon response the problem details of a Problem."""
+    """Set the status, headers and body of a falcon response for a Problem."""
     resp.status = problem.problem.status
     resp.content_type = "application/problem+json"
     resp.text = json.dumps(_problems.render(problem))
--- a/wigeonrouter/administration/_registry_test.py
+++ b/wigeonrouter/administration/_registry_test.py
@@ -1,4 +1,4 @@
-"""Guards against input that is not refused with a documented problem."""
+"""Guards against input that is not rejected with a documented problem."""
 
 from hypothesis import given
 from hypothesis import HealthCheck
--- a/wigeonrouter/administration/_write.py
+++ b/wigeonrouter/administration/_write.py
@@ -37,21 +37,21 @@
 
 @_registry.action(method="DELETE", target="/v1/config")
 def remove(call):
-    """Remove the node at a path and all below it."""
+    """Remove the subtree at a path."""
     path = call.path
     authorized = call.authorize([(_OPERATOR, path)])
     if not pipeline.is_successful(authorized):
         return authorized
     if settings.find_node(root=call.context.replica.root, path=path) is None:
-        # A repeat of an accepted removal finds the node gone.
+        # The node is also missing if this request repeats an accepted removal.
         if call.context.replica.find_change(_change_id(call)) is None:
             return _no_node(path)
     return _propose(call, (settings_pb2.Change(path=path, remove=True),))
 
 
 @_registry.action(method="POST", target="/v1/config/changes")
-def change_several(call):
-    """Make several changes in one revision."""
+def change_nodes(call):
+    """Apply several changes as one revision."""
     return _changes.read_changes(call).bind(
         lambda changes: _propose(call, changes)
     )
@@ -59,7 +59,7 @@
 
 @_registry.action(method="POST", target="/v1/config/validate")
 def validate(call):
-    """Check a document against the tree without changing it."""
+    """Validate a document against the tree without applying it."""
     path = call.path
     return (
         call.authorize([(_auth.Role.READER, path)])
@@ -76,15 +76,16 @@
 
 @_registry.action(method="POST", target="/v1/config/rollback")
 def rollback(call):
-    """Restore the node at a path as it was, as a new revision.
+    """Restore the node at a path from an earlier revision.
 
-    Tokens stay as they are, see adopt_access.
+    The rollback is a new revision. Tokens are not restored; see
+    adopt_access.
     """
     path, revision = call.path, call.revision("revision")
     authorized = call.authorize([(_OPERATOR, path)])
     if not pipeline.is_successful(authorized):
         return authorized
-    found = _read.find_earlier_node(call, path, revision)
+    found = _read.find_node_at_revision(call, path, revision)
     if not pipeline.is_successful(found):
         return found
     node = found.unwrap()
@@ -107,7 +108,7 @@
 
 @_registry.action(method="POST", target="/v1/drain")
 def drain(call):
-    """Start or end the drain of a backend server."""
+    """Start or end draining a backend server."""
     address = _address(call.req.get_param("address", required=True))
     draining = call.req.get_param_as_bool("draining", default=True)
     services = [
@@ -129,7 +130,7 @@
     authorized = call.authorize([(_OPERATOR, path) for path in services])
     if not pipeline.is_successful(authorized):
         return authorized
-    # The log of changes does not hold drains; the daemon's log does.
+    # Drains are not part of the settings history; this line is their record.
     _LOG.info(
         "drain",
         extra={
@@ -151,10 +152,11 @@
 
 
 def _propose(call, changes):
-    """Authorise and accept changes.
+    """Authorise changes and commit them as a new revision.
 
     Returns:
-      Success(dict) that describes the revision, or Failure(Problem).
+      Success(dict) with the revision, the change id and the daemons that
+      acknowledged it, or Failure(Problem).
     """
     replica = call.context.replica
     change_id = _change_id(call)
@@ -163,19 +165,23 @@
         raise falcon.HTTPInvalidParam(
             f"allowed: at most {MAX_COMMENT_CHARACTERS} characters", "comment"
         )
-    # The changes hold tokens of the tree that this daemon had when the
-    # request arrived. Revisions after that have to count as conflicts, even
-    # if the operator has seen them at another daemon.
-    base = min(call.revision("base", default=call.seen), call.seen)
-    needed = [(_OPERATOR, change.path) for change in changes]
+    # The changes contain tokens copied from this daemon's tree at the time
+    # the request arrived. A later revision must be a conflict, even if the
+    # operator has seen it at another daemon, or it could restore a token that
+    # the later revision revoked.
+    base = min(
+        call.revision("base", default=call.arrival_revision),
+        call.arrival_revision,
+    )
+    rights = [(_OPERATOR, change.path) for change in changes]
     known = replica.find_change(change_id)
     if known is None:
-        needed = _access.required_rights(root=replica.root, changes=changes)
-    authorized = call.authorize(needed)
+        rights = _access.required_rights(root=replica.root, changes=changes)
+    authorized = call.authorize(rights)
     if not pipeline.is_successful(authorized):
         return authorized
     if known is not None:
-        return _check_repeat(call, known, changes, ())
+        return _confirm_change(call, known, changes, ())
     accepted = call.context.daemon.accept(
         configuration.Proposal(
             change_id=change_id,
@@ -186,22 +192,25 @@
         )
     )
     if not pipeline.is_successful(accepted):
-        return result.Failure(_explain(accepted.failure()))
+        return result.Failure(_problem_of_failure(accepted.failure()))
     entry, acknowledged = accepted.unwrap()
-    return _check_repeat(call, entry, changes, acknowledged)
+    return _confirm_change(call, entry, changes, acknowledged)
+
 
+def _confirm_change(call, entry, changes, acknowledged):
+    """Check that the log entry of a change id is this operator's change.
 
-def _check_repeat(call, entry, changes, acknowledged):
-    """Make sure that the entry of a change id is this operator's change.
+    An entry without an author is no longer retained; only its change id and
+    revision are known, so it is not checked.
 
-    An entry without an author is no longer retained; only its id is known.
+    Returns:
+      Success(dict), see _propose, or Failure(Problem).
     """
-    foreign = entry.author and (
+    is_other_change = entry.author and (
         entry.author != call.identity.name
-        or _access.without_access(entry.changes)
-        != _access.without_access(changes)
+        or _access.strip_access(entry.changes) != _access.strip_access(changes)
     )
-    if foreign:
+    if is_other_change:
         return result.Failure(
             _problems.Problem(
                 problem=_problems.CHANGE_ID_REUSED,
@@ -219,8 +228,8 @@
     )
 
 
-def _explain(failure):
-    """Return the Problem of a failure of configuration.accept."""
+def _problem_of_failure(failure):
+    """Return the Problem for a failure of configuration.accept."""
     if isinstance(failure, configuration.Conflict):
         return _problems.Problem(
             problem=_problems.CONFLICT,
@@ -240,7 +249,7 @@
             members={"change_id": failure.change_id},
         )
     if isinstance(failure, configuration.InvalidChange):
-        # Only a change that came after the check above leads here.
+        # Reached only if another change came after the validation above.
         return _registry.invalid_document(failure.errors)
     if isinstance(failure, configuration.TooLarge):
         return _registry.too_large(size=failure.size, limit=failure.limit)
--- a/wigeonrouter/administration/conftest.py
+++ b/wigeonrouter/administration/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the administration tests."""
+"""Fixtures and helpers of the administration tests."""
 
 import random
 import types
@@ -23,7 +23,7 @@
 
 
 class FakeDaemon:
-    """Has what the application uses of a daemon, with a real log."""
+    """Fake of the daemon.Daemon interface with a real configuration log."""
 
     def __init__(self, *, store):
         self.store = store
@@ -55,7 +55,7 @@
         ).bind(lambda entry: result.Success((entry, ["peer"])))
 
     def restore(self, root):
-        """Make a tree the newest revision, without any checks."""
+        """Commit a tree as the newest revision, without authorisation."""
         self.accept(
             configuration.Proposal(
                 change_id=f"restore-{self.replica.revision}",
@@ -70,7 +70,7 @@
 
 
 class ApiClient(testing.TestClient):
-    """Sends requests with a token."""
+    """Test client that sends a token and, with changes, a change id."""
 
     def __init__(self, *, daemon):
         super().__init__(administration.build_app(daemon=daemon))
@@ -124,7 +124,7 @@
 
 
 def problem_name(response):
-    """Return the name of a documented problem type, checking its form."""
+    """Check the problem details of a response; return the type's name."""
     assert response.headers["content-type"] == "application/problem+json"
     problem = _TYPES[response.json["type"]]
     assert response.json["status"] == response.status_code == problem.status
