--- a/wigeonrouter/core/_records.py
+++ b/wigeonrouter/core/_records.py
@@ -131,8 +131,8 @@
       ejections: ejections since the server last returned enough responses
         to be trusted again.
       ejected_until: time at which the current ejection ends.
-      stopped: whether a server that announced its shutdown has refused a
-        connection since.
+      stopped: whether a draining server has refused a connection since it
+        announced the drain.
     """
 
     server: BackendServer
--- a/wigeonrouter/daemon/__init__.py
+++ b/wigeonrouter/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon: start, wiring, signals and graceful shutdown."""
+"""The daemon process: startup, signals, reload and graceful shutdown."""
 
 from wigeonrouter.daemon import _daemon
 from wigeonrouter.daemon import _failures
--- a/wigeonrouter/daemon/_daemon.py
+++ b/wigeonrouter/daemon/_daemon.py
@@ -1,4 +1,4 @@
-"""Wires the parts of one daemon together and owns their life cycle."""
+"""Creates the components of one daemon and manages their life cycle."""
 
 import random
 import time
@@ -21,23 +21,24 @@
 from wigeonrouter.schema import peer_pb2
 
 _HOUSEKEEPING_INTERVAL_S = 1.0
-# sleep(0) would run other tasks, but neither timers nor sockets.
+# sleep(0) lets other greenlets run but processes neither timers nor sockets.
 _BUILD_PAUSE_S = 0.001
-_DRAIN_POLL_S = 0.05
-# A peer that missed the announcement learns of it by gossip, and until then
-# still names this daemon to callers.
-_SPREAD_S = 2.0
-# While callers still come after the lifetime of entry answers, the daemon
-# waits for a pause of this length, up to a bound.
-_QUIET_S = 1.0
-_MAX_STRAGGLERS_S = 60.0
+_DRAIN_POLL_INTERVAL_S = 0.05
+# Time for gossip to reach peers that missed the announcement of the shutdown.
+# Until then they still return this daemon to callers.
+_GOSSIP_SPREAD_S = 2.0
+# If requests still arrive once cached entry responses have expired, shutdown
+# waits until none has arrived for _QUIET_PERIOD_S, but no longer than
+# _MAX_LATE_CALLERS_WAIT_S.
+_QUIET_PERIOD_S = 1.0
+_MAX_LATE_CALLERS_WAIT_S = 60.0
 _ADMIN_STOP_TIMEOUT_S = 3.0
 
 _log = observability.logger("daemon")
 
 
 class _AdminHandler(pywsgi.WSGIHandler):
-    """Turns off Nagle's algorithm, which delays small answers by 40 ms."""
+    """Disables Nagle's algorithm, which delays small responses by 40 ms."""
 
     def handle(self):
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -45,13 +46,24 @@
 
 
 class Daemon:
-    """One wigeonrouterd process."""
+    """The components of one wigeonrouterd process.
+
+    Args:
+      settings: settings.DaemonSettings.
+      log_output: observability.LogOutput to reconfigure on a reload, or
+        None.
+      rng: random.Random, or None for a new one.
+    Raises:
+      StartFailed: the settings cannot work.
+      CannotListen: an address is in use or not an address of this VM.
+    """
 
     def __init__(self, *, settings, log_output=None, rng=None):
         self._settings = settings
         self._log_output = log_output
-        # Callers may hold answers from before a reload shortened their life.
-        self._longest_entry_ttl = settings.entry_ttl
+        # Callers may have cached entry responses before a reload shortened
+        # their lifetime.
+        self._max_entry_ttl = settings.entry_ttl
         self._leaving = self._was_ready = False
         self._member_states = {}
         self._rng = rng or random.Random()
@@ -80,7 +92,7 @@
             seeds=settings.seeds,
             replica=self._replica,
             rng=self._rng,
-            claims=self._answer_claim,
+            claims=self._handle_claim,
             tls=self._tls,
         )
         self._replication = membership.Replication(
@@ -92,7 +104,9 @@
             policies=selection.policy_names(),
             on_ready=self._become_ready,
         )
-        with _failures.listening("peer_address", settings.peer_address):
+        with _failures.convert_listen_errors(
+            "peer_address", settings.peer_address
+        ):
             self._peer_server = membership.PeerServer(
                 address=settings.peer_address,
                 servicer=self._gossip,
@@ -103,10 +117,12 @@
             own_member=lambda: self._gossip.table.own,
             claim_from_peer=self._claim_from_peer,
             observe=self._observe,
-            announce=lambda *sign: self._signs.announce(*sign),
+            announce=lambda *announcement: self._drain_tracker.announce(
+                *announcement
+            ),
             rng=self._rng,
         )
-        self._signs = health.ServerSigns(
+        self._drain_tracker = health.ServerSigns(
             gossip=self._gossip,
             store=self._store,
             replica=self._replica,
@@ -118,8 +134,10 @@
             live_members=lambda: self.table.alive,
             dispatchers=lambda: self._handler.dispatchers,
         )
-        with _failures.listening("caller_address", settings.caller_address):
-            self._callers = request_path.CallerServer(
+        with _failures.convert_listen_errors(
+            "caller_address", settings.caller_address
+        ):
+            self._caller_server = request_path.CallerServer(
                 address=settings.caller_address,
                 handler=self._handler,
             )
@@ -167,7 +185,7 @@
 
     @property
     def configured(self):
-        """Whether the newest configuration that can be found is in force."""
+        """Whether the latest available configuration has been applied."""
         return self._replication.ready
 
     @property
@@ -178,14 +196,17 @@
     def start(self):
         """Start all servers and tasks.
 
-        Callers are served, and peers name this daemon to them, only once it
-        has a configuration; until then connections are refused.
+        The port for callers opens once the daemon has a configuration. Until
+        then connections to it are refused, and peers do not return this
+        daemon to callers.
 
         Raises:
-          CannotListen: an address is in use or not of this VM.
+          CannotListen: an address is in use or not an address of this VM.
         """
         settings = self._settings
-        with _failures.listening("admin_address", settings.admin_address):
+        with _failures.convert_listen_errors(
+            "admin_address", settings.admin_address
+        ):
             self._admin.start()
         self._peer_server.start()
         self._gossip.start()
@@ -193,7 +214,7 @@
         self._tasks = [
             gevent.spawn(self._housekeep),
             gevent.spawn(self._prober.run),
-            gevent.spawn(self._signs.run),
+            gevent.spawn(self._drain_tracker.run),
         ]
         _log.info(
             "started",
@@ -207,18 +228,21 @@
         )
 
     def stop(self):
-        """Stop gracefully: no request is cut.
+        """Shut down gracefully, without aborting requests.
 
-        Callers may keep an entry answer for its lifetime, so the daemon
-        serves at least as long after it has left the answers.
+        Callers may cache an entry response for its lifetime. The daemon goes
+        on serving for at least that time after it has been removed from
+        these responses.
         """
         self._leaving = True
-        told, asked = self._gossip.leave()
-        _log.info("leaving", extra={"peers_told": told, "peers": asked})
-        self._callers.drain()
+        notified, attempted = self._gossip.leave()
+        _log.info(
+            "leaving", extra={"peers_told": notified, "peers": attempted}
+        )
+        self._caller_server.drain()
         if self._was_ready:
-            self._serve_last_requests()
-        self._callers.stop()
+            self._wait_for_late_callers()
+        self._caller_server.stop()
         gevent.killall(self._tasks)
         self._replication.stop()
         self._gossip.stop()
@@ -228,7 +252,9 @@
         _log.info("stopped")
 
     def reload(self, requested):
-        """Take over what a running daemon can change.
+        """Apply the settings that can change without a restart.
+
+        If the TLS files cannot be loaded, nothing changes.
 
         Args:
           requested: settings.DaemonSettings from the changed file.
@@ -245,9 +271,7 @@
                 return
             self._gossip.renew_channels()
         self._settings = plan.settings
-        self._longest_entry_ttl = max(
-            self._longest_entry_ttl, plan.settings.entry_ttl
-        )
+        self._max_entry_ttl = max(self._max_entry_ttl, plan.settings.entry_ttl)
         if self._log_output is not None:
             self._log_output.configure(
                 log_format=plan.settings.log_format,
@@ -281,21 +305,23 @@
                     )
                     for name, dispatcher in self._handler.dispatchers.items()
                 ),
-                arriving=self._callers.requests_in_progress,
+                arriving=self._caller_server.requests_in_progress,
             ),
         )
 
     def accept(self, proposal):
-        """Accept a change and spread it; see Replication.accept."""
+        """Commit a change and push it to peers; see Replication.accept."""
         return self._replication.accept(proposal)
 
     def drain_server(self, *, address, draining, author):
-        """Start or end the drain of a backend server; needs no store.
+        """Start or end draining a backend server.
+
+        The state spreads to the other daemons by gossip, without the store.
 
         Args:
-          address: core.Address.
-          draining: whether the server leaves or comes back.
-          author: name of the operator's token.
+          address: core.Address of the server.
+          draining: True to start, False to end.
+          author: name of the operator's token; not used here.
         """
         self._gossip.assert_fact(
             address=address,
@@ -306,29 +332,29 @@
     def _become_ready(self):
         if self._leaving:
             return
-        self._callers.start()
+        self._caller_server.start()
         self._was_ready = True
-        told, asked = self._gossip.become_ready()
+        notified, attempted = self._gossip.become_ready()
         _log.info(
             "ready",
             extra={
                 "revision": self._replica.revision,
                 "services": len(self._replica.services),
-                "peers_told": told,
-                "peers": asked,
+                "peers_told": notified,
+                "peers": attempted,
             },
         )
 
-    def _serve_last_requests(self):
-        """Serve until callers no longer come."""
-        earliest = time.monotonic() + self._longest_entry_ttl + _SPREAD_S
-        latest = earliest + _MAX_STRAGGLERS_S
+    def _wait_for_late_callers(self):
+        """Wait until callers have stopped sending requests."""
+        earliest = time.monotonic() + self._max_entry_ttl + _GOSSIP_SPREAD_S
+        latest = earliest + _MAX_LATE_CALLERS_WAIT_S
         while True:
             now = time.monotonic()
-            quiet = now - self._callers.last_arrival >= _QUIET_S
+            quiet = now - self._caller_server.last_arrival >= _QUIET_PERIOD_S
             if now >= earliest and (quiet or now >= latest):
                 break
-            gevent.sleep(_DRAIN_POLL_S)
+            gevent.sleep(_DRAIN_POLL_INTERVAL_S)
 
     def _observe(self, record):
         self._metrics.observe(record)
@@ -367,19 +393,21 @@
             return None
         return self._gossip.claim(member=member, request_id=request_id)
 
-    def _answer_claim(self, request):
-        known = self._handler.ids.answer_claim(
+    def _handle_claim(self, request):
+        known_outcome = self._handler.ids.answer_claim(
             request.request_id, request.claimant
         )
-        return peer_pb2.ClaimReply(seen=known is not None, outcome=known or "")
+        return peer_pb2.ClaimReply(
+            seen=known_outcome is not None, outcome=known_outcome or ""
+        )
 
 
 def _open_store(settings):
-    known = store_api.adapter_names()
-    if settings.store_adapter not in known:
+    adapters = store_api.adapter_names()
+    if settings.store_adapter not in adapters:
         raise _failures.StartFailed(
             f"store.adapter: {settings.store_adapter} is not known; "
-            f"allowed: {', '.join(known)}"
+            f"allowed: {', '.join(adapters)}"
         )
     return store_api.open_store(
         name=settings.store_adapter,
--- a/wigeonrouter/daemon/_daemon_test.py
+++ b/wigeonrouter/daemon/_daemon_test.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown with real daemon processes; the test plays callers."""
+"""Graceful shutdown of real daemon processes, with simulated callers."""
 
 import contextlib
 import http.client
@@ -80,15 +80,15 @@
         _processes.run_cli("apply", "/", str(path), server=admin)
         for daemon_id in _DAEMONS:
             _wait_for(lambda name=daemon_id: len(_entries(name)) == 3)
-            # The first answer shows that the configuration has arrived.
+            # The first response shows that the configuration has arrived.
             _wait_for(lambda name=daemon_id: _Connection(name).post("/fast"))
         yield started
 
 
 def _wait_for(condition):
-    ends = time.monotonic() + 20
+    deadline = time.monotonic() + 20
     while not condition():
-        assert time.monotonic() < ends
+        assert time.monotonic() < deadline
         gevent.sleep(0.02)
 
 
@@ -102,7 +102,7 @@
 
 
 def _entries(daemon_id, service=""):
-    """Return the daemon ids that a daemon names, homes first."""
+    """Return the daemon ids in an entry response, home daemons first."""
     query = f"?service={service}" if service else ""
     return [
         entry["request_id_prefix"].partition("~")[0]
@@ -123,7 +123,7 @@
 
 
 class _Connection:
-    """A caller's connection; repeats nothing by itself."""
+    """A caller's connection; it does not retry requests."""
 
     _count = 0
 
@@ -135,7 +135,7 @@
         self.asked_to_close = False
 
     def post(self, path):
-        """Return whether the whole answer to this very request came."""
+        """Return whether the complete response to this request arrived."""
         _Connection._count += 1
         request_id = f"test-{_Connection._count}"
         self._http.request(
@@ -150,11 +150,11 @@
 
 
 class _Load:
-    """Callers that keep an entry answer for its lifetime, and requests."""
+    """Callers that send requests and cache entry responses while valid."""
 
     def __init__(self, *, callers, pause=0.005):
-        self.whole = 0
-        self.lost = []
+        self.complete = 0
+        self.failed = []
         self._pause = pause
         self._stopping = event.Event()
         self._tasks = [gevent.spawn(self._call) for _ in range(callers)]
@@ -168,43 +168,48 @@
         expires, connection = 0.0, None
         while not self._stopping.is_set():
             if time.monotonic() >= expires:
-                entry = self._ask()
+                entry = self._query_entry()
                 expires = time.monotonic() + _TTL_MS / 1000
                 if connection is None or connection.daemon_id != entry:
                     connection = _Connection(entry)
             try:
-                answered = connection.post("/fast")
+                succeeded = connection.post("/fast")
             except (OSError, http.client.HTTPException) as error:
-                self.lost.append((connection.daemon_id, repr(error)))
+                self.failed.append((connection.daemon_id, repr(error)))
                 connection = _Connection(connection.daemon_id)
                 expires = 0.0
                 gevent.sleep(0.05)
                 continue
-            if answered:
-                self.whole += 1
+            if succeeded:
+                self.complete += 1
             else:
-                self.lost.append((connection.daemon_id, "refused"))
+                self.failed.append((connection.daemon_id, "refused"))
             gevent.sleep(self._pause)
 
-    def _ask(self):
+    def _query_entry(self):
         for daemon_id in _DAEMONS:
             try:
                 return _entries(daemon_id, "/fast")[0]
             except (OSError, http.client.HTTPException):
-                # An entry query changes nothing; ask the next daemon.
+                # An entry query is safe to repeat at the next daemon.
                 continue
             except KeyError:
-                # A daemon without configuration answers not-ready.
+                # A daemon without configuration responds with not-ready.
                 continue
-        raise AssertionError("no daemon answers entry queries")
+        raise AssertionError("no daemon responds to entry queries")
 
 
-def test_sigterm_cuts_no_request(fleet):
-    """Guards long, queued and late requests and idle connections."""
+def test_sigterm_aborts_no_request(fleet):
+    """Guards against requests that are aborted by a graceful shutdown.
+
+    Covers long and queued requests, requests that arrive after SIGTERM, idle
+    connections and a second SIGTERM.
+    """
     home = _entries("entry-0", "/fast")[0]
     late, idle = _Connection(home), _Connection(home)
     assert late.post("/fast") and idle.post("/fast")
-    # Two run at once and four wait: the last ends after three rounds.
+    # Two run in the slots and four queue: the last one ends in the third
+    # round.
     slow = [gevent.spawn(_Connection(home).post, "/slow") for _ in range(6)]
     load = _Load(callers=8)
     gevent.sleep(0.2)
@@ -217,30 +222,30 @@
     assert late.post("/fast") and late.asked_to_close
     fleet.send_signal(home, signal.SIGTERM)
     gevent.sleep(0.1)
-    # A caller that kept its entry answer connects once more.
+    # A caller with a cached entry response connects again.
     assert late.post("/fast") and late.asked_to_close
     gevent.joinall(slow, raise_error=True)
     assert [task.value for task in slow] == [True] * 6
     assert fleet.wait(home) == 0
     load.stop()
-    assert load.lost == [] and load.whole > 0
+    assert load.failed == [] and load.complete > 0
 
 
-def test_leaving_daemon_is_not_named(fleet):
-    """Guards against callers that are sent to a daemon that is leaving."""
+def test_entry_responses_omit_a_daemon_that_shuts_down(fleet):
+    """Guards against entry responses that name a daemon shutting down."""
     leaving = "entry-1"
     fleet.send_signal(leaving, signal.SIGTERM)
     for asked in _DAEMONS:
         _wait_for(lambda name=asked: leaving not in _entries(name))
         assert len(_entries(asked, "/fast")) == 2
-    # It is still there for callers with an old entry answer.
+    # It still serves callers with a cached entry response.
     assert _Connection(leaving).post("/fast")
     assert _get_json(leaving, "/readyz") == {"ready": False}
     assert fleet.wait(leaving) == 0
 
 
-def test_daemon_without_configuration_serves_no_caller():
-    """Guards against callers that meet a daemon that knows no service."""
+def test_daemon_without_configuration_refuses_callers():
+    """Guards against a daemon that accepts callers without configuration."""
     caller, admin, peer, store = (
         core.parse_address(address) for address in _ports.free_addresses(4)
     )
@@ -271,7 +276,11 @@
 
 
 def test_rolling_restart_loses_nothing(fleet):
-    """Guards against requests that meet a daemon too early or too late."""
+    """Guards against lost requests while each daemon in turn restarts.
+
+    A request is lost if callers are sent to a daemon that is not ready yet or
+    has stopped already.
+    """
     load = _Load(callers=12)
     for daemon_id in _DAEMONS:
         gevent.sleep(0.5)
@@ -280,4 +289,4 @@
         fleet.restart_daemon(daemon_id)
     gevent.sleep(0.5)
     load.stop()
-    assert load.lost == [] and load.whole > 0
+    assert load.failed == [] and load.complete > 0
--- a/wigeonrouter/daemon/_drain_test.py
+++ b/wigeonrouter/daemon/_drain_test.py
@@ -1,11 +1,11 @@
-"""Guards against drains that are accepted but not stated to peers."""
+"""Guards against drains that are accepted but not announced to peers."""
 
 from wigeonrouter import core
 from wigeonrouter import daemon as daemon_api
 from wigeonrouter import settings
 
 
-def test_a_drain_is_a_fact_that_the_operator_can_take_back(store_standin):
+def test_a_drain_is_announced_and_can_be_ended(store_standin):
     free = core.Address(host="127.0.0.1", port=0)
     daemon = daemon_api.Daemon(
         settings=settings.DaemonSettings(
@@ -26,6 +26,6 @@
     server = core.Address(host="127.0.0.1", port=7001)
     daemon.drain_server(address=server, draining=True, author="a")
     daemon.drain_server(address=server, draining=False, author="b")
-    # health.ServerSigns hands the addresses of draining facts on.
+    # health.ServerSigns passes on the addresses of draining facts.
     address = "127.0.0.1:7001"
     assert seen == [[(address, "draining")], [(address, "active")]]
--- a/wigeonrouter/daemon/_failures.py
+++ b/wigeonrouter/daemon/_failures.py
@@ -1,34 +1,37 @@
-"""Failures that stop a daemon at start, and their exit codes."""
+"""Startup failures and their exit codes."""
 
 import contextlib
 import os
 import socket
 
-# sysexits.h. 78: the settings cannot work; a restart does not help.
+# From sysexits.h: invalid settings, which a restart does not fix.
 EX_CONFIG = 78
-# sysexits.h. 69: an address cannot be listened on; a restart may help.
+# From sysexits.h: an address cannot be bound, which a restart may fix.
 EX_UNAVAILABLE = 69
 
 
 class StartFailed(Exception):
-    """The daemon cannot start; the text is one line for the operator."""
+    """The daemon cannot start. The message is one line for the operator."""
 
     exit_code = EX_CONFIG
 
 
 class CannotListen(StartFailed):
-    """An address is in use or not of this VM."""
+    """An address is in use or not an address of this VM."""
 
     exit_code = EX_UNAVAILABLE
 
 
 @contextlib.contextmanager
-def listening(name, address):
-    """Turn what bind() raises into a StartFailed.
+def convert_listen_errors(name, address):
+    """Convert exceptions of bind() and listen() to StartFailed.
 
     Args:
-      name: setting that holds the address.
+      name: name of the setting that holds the address.
       address: core.Address.
+    Raises:
+      StartFailed: the text is not a valid address.
+      CannotListen: the address is in use or not an address of this VM.
     """
     try:
         yield
--- a/wigeonrouter/daemon/_reload.py
+++ b/wigeonrouter/daemon/_reload.py
@@ -1,11 +1,11 @@
-"""Decides which settings a running daemon can take over."""
+"""Decides which settings a running daemon can apply without a restart."""
 
 from wigeonrouter import core
 from wigeonrouter import membership
 from wigeonrouter.daemon import _failures
 
-# The others name addresses and places that peers and callers know, or were
-# used to open connections; they need a restart.
+# The other settings need a restart: peers and callers know the addresses and
+# the location of the daemon, or connections were opened with them.
 RELOADABLE = frozenset(
     {
         "bootstrap_token_sha256",
@@ -24,8 +24,8 @@
 def plan_reload(*, current, requested):
     """Compare two settings.DaemonSettings and return a core.ReloadPlan.
 
-    Whether peers use TLS at all is fixed at start, since the peer server's
-    port either expects it or does not.
+    Enabling or disabling TLS between peers needs a restart, since the port of
+    the peer server either expects TLS or does not.
     """
     reloadable = RELOADABLE
     if bool(current.tls_key_file) != bool(requested.tls_key_file):
@@ -36,7 +36,7 @@
 
 
 def tls_files(settings):
-    """Return the arguments of membership.PeerTls."""
+    """Return the keyword arguments of membership.PeerTls as a dict."""
     return {
         "authority_files": settings.tls_authority_files,
         "certificate_file": settings.tls_certificate_file,
@@ -45,10 +45,10 @@
 
 
 def load_tls(settings):
-    """Return a membership.PeerTls, or None where peers use none.
+    """Return a membership.PeerTls, or None if peers do not use TLS.
 
     Raises:
-      StartFailed: the files cannot be used.
+      StartFailed: the files cannot be loaded.
     """
     if not settings.tls_key_file:
         return None
--- a/wigeonrouter/daemon/main.py
+++ b/wigeonrouter/daemon/main.py
@@ -1,13 +1,13 @@
 """The command wigeonrouterd.
 
-Exit codes: 0 after SIGTERM or SIGINT, 69 if an address cannot be listened
-on, 78 if the settings are wrong. Each error at start is one line on the
-standard error output.
+Exit codes: 0 after SIGTERM or SIGINT, 69 if an address cannot be bound, 78 if
+the settings are invalid. Each startup error is one line on standard error.
 """
 
 import os
 
-# gRPC's own lines would stand beside the one line that says what is wrong.
+# Suppresses gRPC's log, so that a startup error is only one line. Set
+# before grpc is imported.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
 from gevent import monkey  # noqa: E402
--- a/wigeonrouter/daemon/main_test.py
+++ b/wigeonrouter/daemon/main_test.py
@@ -1,4 +1,4 @@
-"""Exit codes and signals of the command, with real processes."""
+"""Exit codes and signal handling of the command, with real processes."""
 
 import contextlib
 import http.client
@@ -58,8 +58,8 @@
         ),
     ],
 )
-def test_wrong_settings_exit_with_78(tmp_path, changes, lines):
-    """Guards against a traceback, or a start, with wrong settings."""
+def test_invalid_settings_exit_with_78(tmp_path, changes, lines):
+    """Guards against a start with invalid settings, or a traceback."""
     path = tmp_path / "settings.json"
     path.write_text(json.dumps({**_SETTINGS, **changes}))
     ended = _run(path)
@@ -74,7 +74,7 @@
     "name", ["caller_address", "admin_address", "peer_address"]
 )
 def test_address_in_use_exits_with_69(tmp_path, name):
-    """Guards against a daemon that runs without one of its servers."""
+    """Guards against a daemon that runs without one of its listeners."""
     path = tmp_path / "settings.json"
     path.write_text(json.dumps(_SETTINGS))
     address = core.parse_address(_SETTINGS[name])
@@ -116,15 +116,15 @@
 
 
 def _wait(condition):
-    ends = time.monotonic() + 20
+    deadline = time.monotonic() + 20
     while not condition():
-        assert time.monotonic() < ends
+        assert time.monotonic() < deadline
         time.sleep(0.05)
 
 
 def _wait_for_line(fleet, message):
-    ends = time.monotonic() + 20
-    while time.monotonic() < ends:
+    deadline = time.monotonic() + 20
+    while time.monotonic() < deadline:
         for line in fleet.output("entry-1").splitlines():
             if message in line:
                 return line
@@ -132,8 +132,8 @@
     raise AssertionError(f"no line {message!r}")
 
 
-def test_sighup_changes_what_needs_no_restart(fleet):
-    """Guards against settings that are taken over half or not at all."""
+def test_sighup_applies_reloadable_settings(fleet):
+    """Guards against a reload that applies only some settings, or none."""
     assert json.loads(fleet.output("entry-1").splitlines()[0])["level"]
     fleet.change_settings(
         "entry-1",
@@ -150,7 +150,10 @@
 
 
 def test_sighup_with_a_broken_file_changes_nothing(fleet):
-    """Guards against a daemon that stops or runs with half a file."""
+    """Guards against a reload of a broken file that stops the daemon.
+
+    The daemon must not apply a part of the file either.
+    """
     before = _ttl_ms()
     with open(fleet.settings_path("entry-1"), "w") as file:
         file.write('{"entry_ttl_ms": 700')
@@ -172,7 +175,7 @@
     }
 
 
-def _is_served(folder, signer):
+def _is_accepted(folder, signer):
     """Return whether entry-1 serves entry-2 with a signer's certificate."""
     tls = membership.PeerTls(
         **_peer_tls(folder, "entry-2", signer, ["old", "new"])
@@ -194,7 +197,7 @@
 
 
 def test_daemons_replace_their_certificates_without_a_restart(tmp_path):
-    """Guards against daemons that need a restart for a new authority."""
+    """Guards against a change of the authority that requires a restart."""
     names = ("entry-1", "entry-2")
     for signer in ("old", "new"):
         (tmp_path / signer).mkdir()
@@ -232,10 +235,10 @@
                         fleet.output(n).count("settings reloaded") > r
                     )
                 )
-        # Who shows the old authority's certificate is refused from now on.
-        assert not _is_served(tmp_path, "old")
-        assert _is_served(tmp_path, "new")
-        # A peer that restarts makes entry-2 connect with what it has now.
+        # A certificate of the old authority is no longer accepted.
+        assert not _is_accepted(tmp_path, "old")
+        assert _is_accepted(tmp_path, "new")
+        # The restart of a peer makes entry-2 connect with its new files.
         fleet.send_signal("entry-1", signal.SIGTERM)
         assert fleet.wait("entry-1") == 0
         alive = fleet.output("entry-2").count("entry-1 state=alive")
@@ -245,10 +248,10 @@
                 fleet.output("entry-2").count("entry-1 state=alive") > alive
             )
         )
-        # A daemon that leaves says how many peers it reached.
+        # A daemon that shuts down logs how many peers it notified.
         fleet.send_signal("entry-2", signal.SIGTERM)
         assert fleet.wait("entry-2") == 0
         assert "leaving peers_told=1 peers=1" in fleet.output("entry-2")
-        # Nobody was taken for dead in the meantime.
+        # No daemon was suspected meanwhile.
         for name in names:
             assert "state=suspect" not in fleet.output(name)
