--- a/wigeonrouter/cli/__init__.py
+++ b/wigeonrouter/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command-line tool for operators."""
+"""The command-line tool wigeonrouter for operators."""
--- a/wigeonrouter/cli/_client.py
+++ b/wigeonrouter/cli/_client.py
@@ -1,8 +1,8 @@
-"""Sends requests of the command-line tool to daemons.
+"""HTTP client of the command-line tool.
 
-Reads are tried at one server after another. A write goes to the next server
-only while no byte of it was sent: where the reply is lost, the operator has
-to decide whether to repeat it with the same change id.
+Reads fail over to the next server. Writes fail over only if the connection
+could not be made, so that nothing was sent: if the response is lost, the
+operator has to decide whether to repeat the write with the same change id.
 """
 
 import dataclasses
@@ -15,10 +15,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Unreachable:
-    """No server could be reached; nothing was done.
+    """No server could be reached; no write was sent.
 
     Attributes:
-      attempts: tuple of (server, what went wrong).
+      attempts: tuple of (server, error text).
     """
 
     attempts: tuple[tuple[str, str], ...]
@@ -26,7 +26,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ReplyLost:
-    """A write was sent and its reply was not received whole."""
+    """A request was sent, but no complete response was received.
+
+    Attributes:
+      server: address of the server.
+      detail: error text.
+    """
 
     server: str
     detail: str
@@ -34,7 +39,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Refused:
-    """A server answered with problem details."""
+    """A server responded with problem details.
+
+    Attributes:
+      server: address of the server.
+      status: HTTP status code.
+      problem: decoded problem details (RFC 9457).
+    """
 
     server: str
     status: int
@@ -43,12 +54,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Client:
-    """Where and as whom to send requests.
+    """Sends requests to daemons with a bearer token.
 
     Attributes:
-      servers: tuple of ``host:port``.
-      token: bearer token, possibly empty.
-      timeout: seconds for connecting and for each read.
+      servers: tuple of ``host:port``, tried in this order.
+      token: bearer token, empty for none.
+      timeout: seconds for connecting and for each read from the socket.
     """
 
     servers: tuple[str, ...]
@@ -56,47 +67,59 @@
     timeout: float
 
     def read(self, target, *, body=None, **params):
-        """Send a request that changes nothing.
+        """Send a read-only request, trying one server after another.
+
+        Responses with a status of 500 and above count as failures of the
+        server, after which the next one is tried.
 
         Args:
           target: path of the resource.
-          body: JSON document as bytes; sent as POST where it is given.
+          body: JSON document as bytes, sent as POST; GET if None.
           params: query parameters; those that are None are left out.
         Returns:
-          Success(dict), or Failure of Unreachable or Refused.
+          Success(dict), or Failure(Unreachable or Refused).
         """
         method = "GET" if body is None else "POST"
         attempts, refused = [], None
         for server in self.servers:
-            answer = self._send(server, method, target, params, body)
-            if isinstance(answer, dict):
-                return result.Success(answer)
-            if isinstance(answer, Refused):
-                if answer.status < 500:
-                    return result.Failure(answer)
-                refused = answer
+            outcome = self._send(server, method, target, params, body)
+            if isinstance(outcome, dict):
+                return result.Success(outcome)
+            if isinstance(outcome, Refused):
+                if outcome.status < 500:
+                    return result.Failure(outcome)
+                refused = outcome
             else:
-                attempts.append((server, answer.detail))
+                attempts.append((server, outcome.detail))
         return result.Failure(refused or Unreachable(attempts=tuple(attempts)))
 
     def write(self, method, target, *, body=None, **params):
-        """Send a request that changes something; see read.
+        """Send a request that changes state, at most once.
 
+        Args:
+          method: HTTP method.
+          target: path of the resource.
+          body: JSON document as bytes, or None.
+          params: query parameters; those that are None are left out.
         Returns:
-          Success(dict), or Failure of Unreachable, Refused or ReplyLost.
+          Success(dict), or Failure(Unreachable, Refused or ReplyLost).
         """
         attempts = []
         for server in self.servers:
-            answer = self._send(server, method, target, params, body)
-            if isinstance(answer, dict):
-                return result.Success(answer)
-            if not isinstance(answer, _NotSent):
-                return result.Failure(answer)
-            attempts.append((server, answer.detail))
+            outcome = self._send(server, method, target, params, body)
+            if isinstance(outcome, dict):
+                return result.Success(outcome)
+            if not isinstance(outcome, _NotSent):
+                return result.Failure(outcome)
+            attempts.append((server, outcome.detail))
         return result.Failure(Unreachable(attempts=tuple(attempts)))
 
     def _send(self, server, method, target, params, body):
-        """Return a dict, Refused, ReplyLost or _NotSent."""
+        """Send a request to one server.
+
+        Returns:
+          The decoded response as a dict, Refused, ReplyLost or _NotSent.
+        """
         host, _, port = server.rpartition(":")
         connection = http.client.HTTPConnection(
             host, int(port), timeout=self.timeout
@@ -132,6 +155,6 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _NotSent:
-    """The connection failed before a byte was sent."""
+    """The connection could not be made; nothing was sent."""
 
     detail: str
--- a/wigeonrouter/cli/_explain.py
+++ b/wigeonrouter/cli/_explain.py
@@ -1,53 +1,67 @@
-"""Finds a request in a node's log and tells what happened to it."""
+"""Finds the events of a request in a node's log and describes them."""
 
 import dataclasses
 import json
 
-# Lines that concern a request carry its id in this field.
-_ID = "id"
+# Field of a log event that holds the request id.
+_ID_FIELD = "id"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Found:
-    """What a log says of one request.
+class SearchResult:
+    """Result of searching a log for one request.
 
     Attributes:
-      events: its events, oldest first.
-      broken: lines that are no events.
-      dropped: lines that the process did not write.
+      events: the decoded events of the request, oldest first.
+      malformed: number of lines that are not events.
+      dropped: number of lines that the process reports as not written.
     """
 
     events: tuple[dict, ...]
-    broken: int
+    malformed: int
     dropped: int
 
 
-def find(lines, request_id):
-    """Return the Found of a request in an iterable of log lines.
+def search(lines, request_id):
+    """Search log lines for the events of a request.
 
-    Text before the first brace, such as the name of a VM, is skipped.
+    Text before the first brace of a line, such as a VM name, is ignored.
+
+    Args:
+      lines: iterable of str.
+      request_id: id of the request.
+    Returns:
+      A SearchResult.
     """
-    events, broken, dropped = [], 0, 0
+    events, malformed, dropped = [], 0, 0
     for line in lines:
         start = line.find("{")
         if start < 0:
-            broken += bool(line.strip())
+            malformed += bool(line.strip())
             continue
         try:
             event = json.loads(line[start:])
         except ValueError:
-            broken += 1
+            malformed += 1
             continue
         if event.get("event") == "lines-dropped":
             dropped += sum(event.get("by_event", {}).values())
-        if event.get(_ID) == request_id:
+        if event.get(_ID_FIELD) == request_id:
             events.append(event)
     events.sort(key=lambda event: event.get("time", 0.0))
-    return Found(events=tuple(events), broken=broken, dropped=dropped)
+    return SearchResult(
+        events=tuple(events), malformed=malformed, dropped=dropped
+    )
 
 
 def render(found):
-    """Return the lines that tell a person what happened."""
+    """Return a list of lines that describe the events to an operator.
+
+    Each line starts with the time since the first event, in milliseconds.
+
+    Args:
+      found: SearchResult with at least one event.
+    """
     first = found.events[0].get("time", 0.0)
     return [
         f"{(event.get('time', 0.0) - first) * 1000:9.1f} ms  "
@@ -79,9 +93,9 @@
     )
 
 
-def _describe_answer(event):
-    late = event.get("left_to_target_ms", 0)
-    timing = "in time" if late >= 0 else f"{-late} ms late"
+def _describe_response(event):
+    time_left_ms = event.get("left_to_target_ms", 0)
+    timing = "in time" if time_left_ms >= 0 else f"{-time_left_ms} ms late"
     return (
         f"answered {event.get('status')} after {event.get('took_ms')} ms,"
         f" {timing}; route {event.get('route')}, service"
@@ -89,7 +103,7 @@
     )
 
 
-def _describe_departure(event):
+def _describe_disconnect(event):
     return f"the caller left after {event.get('took_ms')} ms"
 
 
@@ -100,6 +114,6 @@
 _DESCRIPTIONS = {
     "attempt": _describe_attempt,
     "refused": _describe_refusal,
-    "answered": _describe_answer,
-    "caller-gone": _describe_departure,
+    "answered": _describe_response,
+    "caller-gone": _describe_disconnect,
 }
--- a/wigeonrouter/cli/_explain_test.py
+++ b/wigeonrouter/cli/_explain_test.py
@@ -1,4 +1,4 @@
-"""Tests of finding a request in a log."""
+"""Tests of the command explain, which finds a request in a log."""
 
 import json
 
@@ -48,8 +48,8 @@
     )
 
 
-def test_way_of_a_request_is_told():
-    """Guards against a log from which no cause can be read."""
+def test_events_of_a_request_are_described():
+    """Guards against output that does not show why a request failed."""
     result = run("one")
     assert result.exit_code == 0
     assert "sent to i-1" in result.output
@@ -58,8 +58,8 @@
     assert "other" not in result.output
 
 
-def test_unknown_id_is_an_error_that_says_what_was_read():
-    """Guards against an empty answer for a line that was dropped."""
+def test_unknown_id_is_an_error_that_reports_unread_lines():
+    """Guards against empty output if the log lines were dropped."""
     result = run("two")
     assert result.exit_code == 1
     assert "two" in result.output
--- a/wigeonrouter/cli/_output.py
+++ b/wigeonrouter/cli/_output.py
@@ -1,6 +1,6 @@
-"""Prints replies and failures, for people or as JSON, and ends the command.
+"""Prints responses and failures as text or JSON, and sets the exit code.
 
-Exit codes are part of the interface; docs/OPERATIONS.md lists them.
+The exit codes are part of the interface; docs/OPERATIONS.md lists them.
 """
 
 import datetime
@@ -12,7 +12,7 @@
 from wigeonrouter.cli import _client
 
 EXIT_REFUSED = 1
-# click ends with 2 for wrong arguments.
+# click exits with 2 for invalid arguments.
 EXIT_INVALID = 3
 EXIT_UNREACHABLE = 4
 EXIT_CONFLICT = 5
@@ -39,12 +39,12 @@
 
 
 def print_reply(media, *, as_json, render):
-    """Print a reply.
+    """Print a response.
 
     Args:
-      media: the reply as a dict.
-      as_json: whether to print the reply itself.
-      render: function that yields lines for people from the reply.
+      media: the decoded response, a dict.
+      as_json: whether to print it as JSON.
+      render: function that takes media and yields lines of text.
     """
     if as_json:
         click.echo(json.dumps(media, indent=2))
@@ -54,12 +54,18 @@
 
 
 def fail(failure, *, as_json, change_id=None):
-    """Print a failure of the Client to standard error and exit."""
+    """Print a failure to standard error and exit with its code.
+
+    Args:
+      failure: Unreachable, Refused or ReplyLost of _client.
+      as_json: whether to print JSON instead of text.
+      change_id: change id of a failed change, or None.
+    """
     if isinstance(failure, _client.Refused):
         media = failure.problem
         name = str(media.get("type", "")).rpartition(":")[2]
         code = _EXIT_BY_PROBLEM.get(name, EXIT_REFUSED)
-        lines = _refusal_lines(name, media)
+        lines = _problem_lines(name, media)
         if change_id is not None and name == "internal":
             # The daemon may have failed after it wrote the change.
             code = EXIT_UNDETERMINED
@@ -73,7 +79,7 @@
     else:
         name, code = "unreachable", EXIT_UNREACHABLE
         media = {"attempts": dict(failure.attempts)}
-        lines = [f"{server}: {why}" for server, why in failure.attempts]
+        lines = [f"{server}: {cause}" for server, cause in failure.attempts]
     if change_id is not None:
         media = {**media, "change_id": change_id}
         if code in (EXIT_UNDETERMINED, EXIT_UNAVAILABLE, EXIT_UNREACHABLE):
@@ -87,7 +93,13 @@
 
 
 def fail_document(name, errors, *, as_json):
-    """Print the DocumentErrors of a local file and exit."""
+    """Print the errors of a local file to standard error and exit.
+
+    Args:
+      name: name of the file.
+      errors: iterable of settings.DocumentError.
+      as_json: whether to print JSON instead of text.
+    """
     if as_json:
         media = {
             "error": "invalid-document",
@@ -108,36 +120,36 @@
 
 
 def render_change(media):
-    """Yield lines on an accepted change."""
+    """Yield the lines that describe an accepted change."""
     others = ", ".join(media["acknowledged_by"]) or "no other daemon"
     yield f"revision {media['revision']}, acknowledged by {others}"
     yield f"change id {media['change_id']}"
 
 
 def render_effective(media):
-    """Yield lines on effective settings, each value with its origin."""
+    """Yield a line for each effective setting, with its origin."""
     yield f"{media['path']} at revision {media['revision']}"
     origins = media["origins"]
-    for field, value in _leaves(media["settings"], "", origins):
+    for field, value in _flatten(media["settings"], "", origins):
         yield f"{field} = {json.dumps(value)}  ({origins.get(field, '/')})"
 
 
 def render_differences(media):
-    """Yield lines on differences."""
+    """Yield the lines of a comparison, like those of diff."""
     if not media["differences"]:
         yield "no differences"
     for item in media["differences"]:
-        place = f"{item['path']} {item['field']}".strip()
+        location = f"{item['path']} {item['field']}".strip()
         if item["before"] is not None:
-            yield f"- {place}: {json.dumps(item['before'])}"
+            yield f"- {location}: {json.dumps(item['before'])}"
         if item["after"] is not None:
-            yield f"+ {place}: {json.dumps(item['after'])}"
+            yield f"+ {location}: {json.dumps(item['after'])}"
     if media["truncated"]:
         yield "(more differences are not shown)"
 
 
 def render_history(media):
-    """Yield lines on revisions."""
+    """Yield a line for each revision."""
     for entry in media["entries"]:
         yield (
             f"{entry['revision']:>8}  {format_time(entry['time_ms'])}  "
@@ -147,7 +159,7 @@
 
 
 def render_status(media):
-    """Yield lines on the state of a daemon."""
+    """Yield the lines that describe a daemon, its peers and its traffic."""
     ready = "ready" if media["ready"] else "not ready"
     yield f"{media['daemon_id']}: {ready}, revision {media['revision']}"
     for member in media["members"]:
@@ -161,7 +173,7 @@
 
 
 def render_entries(media):
-    """Yield lines on entries."""
+    """Yield a line for each entry."""
     for entry in media["entries"]:
         home = "home" if entry["home"] else "-"
         yield (
@@ -172,12 +184,15 @@
 
 
 def format_time(time_ms):
-    """Return a time as ISO 8601 in UTC, in whole seconds."""
+    """Return a time in milliseconds since the epoch as ISO 8601 in UTC.
+
+    The resolution is one second.
+    """
     moment = datetime.datetime.fromtimestamp(time_ms / 1000, datetime.UTC)
     return moment.strftime("%Y-%m-%dT%H:%M:%SZ")
 
 
-def _refusal_lines(name, media):
+def _problem_lines(name, media):
     lines = [f"{name}: {media.get('detail', '')}"]
     for error in media.get("errors", ()):
         lines.append(
@@ -186,11 +201,11 @@
     return lines
 
 
-def _leaves(value, prefix, origins):
-    """Yield (dotted field, value) down to the fields that have an origin."""
+def _flatten(value, prefix, origins):
+    """Yield (dotted field name, value) for each field that has an origin."""
     for key, item in value.items():
         name = f"{prefix}{key}"
         if isinstance(item, dict) and name not in origins:
-            yield from _leaves(item, f"{name}.", origins)
+            yield from _flatten(item, f"{name}.", origins)
         else:
             yield name, item
--- a/wigeonrouter/cli/main.py
+++ b/wigeonrouter/cli/main.py
@@ -22,7 +22,7 @@
 
 
 class _Servers(click.ParamType):
-    """One or more addresses, separated by commas."""
+    """Parameter type for one or more addresses separated by commas."""
 
     name = "host:port[,host:port...]"
 
@@ -36,25 +36,33 @@
 
 
 class _State:
-    """The options of the whole command."""
+    """Client and output format chosen by the options of the group."""
 
     def __init__(self, *, client, as_json):
         self.client = client
         self.as_json = as_json
 
-    def finish(self, answer, render, change_id=None):
-        """Print a reply, or the failure, which ends the command."""
-        if not pipeline.is_successful(answer):
+    def finish(self, response, render, change_id=None):
+        """Print the response, or print the failure and exit.
+
+        Args:
+          response: Success(dict) or Failure from the client.
+          render: see _output.print_reply.
+          change_id: change id of a change, or None.
+        Returns:
+          The decoded response, a dict.
+        """
+        if not pipeline.is_successful(response):
             _output.fail(
-                answer.failure(), as_json=self.as_json, change_id=change_id
+                response.failure(), as_json=self.as_json, change_id=change_id
             )
-        media = answer.unwrap()
+        media = response.unwrap()
         _output.print_reply(media, as_json=self.as_json, render=render)
         return media
 
 
 def _change_options(function):
-    """Add the options that all changes of settings share."""
+    """Add the options that all commands that change settings have."""
     for option in (
         click.option("--comment", default="", help="kept in the history"),
         click.option(
@@ -123,13 +131,13 @@
     """Check the document in FILE without applying it."""
     text, message = _read_document(state, file, settings_only)
     if remote:
-        answer = state.client.read(
+        response = state.client.read(
             "/v1/config/validate",
             body=text,
             path=path,
             only="settings" if settings_only else None,
         )
-        state.finish(answer, lambda media: ("valid",))
+        state.finish(response, lambda media: ("valid",))
         return
     anchor = settings_api.Anchor(path=path, settings_only=settings_only)
     action = "settings" if settings_only else "node"
@@ -167,26 +175,26 @@
 @click.pass_obj
 def apply(state, path, file, settings_only, remove, changes, **params):
     """Replace the node at PATH by the document in FILE."""
-    given = (file is not None, remove, changes is not None)
-    if sum(given) != 1 or (path is None) != (changes is not None):
+    sources = (file is not None, remove, changes is not None)
+    if sum(sources) != 1 or (path is None) != (changes is not None):
         raise click.UsageError(
             "give PATH and FILE, or PATH and --remove, or --changes"
         )
     if changes is not None:
-        answer = state.client.write(
+        response = state.client.write(
             "POST", "/v1/config/changes", body=changes.read(), **params
         )
     elif remove:
-        answer = state.client.write(
+        response = state.client.write(
             "DELETE", "/v1/config", path=path, **params
         )
     else:
         text, _ = _read_document(state, file, settings_only)
         only = "settings" if settings_only else None
-        answer = state.client.write(
+        response = state.client.write(
             "PUT", "/v1/config", body=text, path=path, only=only, **params
         )
-    state.finish(answer, _output.render_change, params["change_id"])
+    state.finish(response, _output.render_change, params["change_id"])
 
 
 @main.command()
@@ -230,17 +238,17 @@
         raise click.UsageError("give either FILE or --from")
     if file is not None:
         text, _ = _read_document(state, file, settings_only)
-        answer = state.client.read(
+        response = state.client.read(
             "/v1/config/diff",
             body=text,
             path=path,
             only="settings" if settings_only else None,
         )
     else:
-        answer = state.client.read(
+        response = state.client.read(
             "/v1/config/diff", path=path, **{"from": from_, "to": to}
         )
-    media = state.finish(answer, _output.render_differences)
+    media = state.finish(response, _output.render_differences)
     if exit_code and media["differences"]:
         raise SystemExit(_output.EXIT_DIFFERENT)
 
@@ -264,10 +272,10 @@
 @click.pass_obj
 def rollback(state, path, revision, **params):
     """Restore PATH as it was at a revision, as a new revision."""
-    answer = state.client.write(
+    response = state.client.write(
         "POST", "/v1/config/rollback", path=path, revision=revision, **params
     )
-    state.finish(answer, _output.render_change, params["change_id"])
+    state.finish(response, _output.render_change, params["change_id"])
 
 
 @main.command()
@@ -283,7 +291,7 @@
 @click.pass_obj
 def drain(state, address, undo):
     """Give the backend server at ADDRESS no new work."""
-    answer = state.client.write(
+    response = state.client.write(
         "POST",
         "/v1/drain",
         address=address,
@@ -291,7 +299,7 @@
     )
     word = "returning" if undo else "draining"
     state.finish(
-        answer,
+        response,
         lambda media: (
             f"{media['address']} {word} in {', '.join(media['services'])}",
         ),
@@ -352,7 +360,11 @@
 
 
 def _read_document(state, file, settings_only):
-    """Return the text and the message of a file; errors end the command."""
+    """Read and validate a file; print errors and exit if it is invalid.
+
+    Returns:
+      A pair: the document as bytes, and its message.
+    """
     text = file.read()
     message_type = (
         settings_pb2.Settings if settings_only else settings_pb2.Node
@@ -366,7 +378,7 @@
 
 
 def _file_name(file):
-    # A stream that stands in for standard input may have no name.
+    # A stream that replaces standard input may have no name.
     return getattr(file, "name", "<stdin>")
 
 
@@ -375,10 +387,10 @@
 @click.argument("log", type=click.File(errors="replace"), default="-")
 def explain(request_id, log):
     """Tell what happened to a request, from the LOG of a node (or stdin)."""
-    found = _explain.find(log, request_id)
+    found = _explain.search(log, request_id)
     if not found.events:
         click.echo(
-            f"wigeonrouter: no line about {request_id}; {found.broken}"
+            f"wigeonrouter: no line about {request_id}; {found.malformed}"
             f" unreadable lines, {found.dropped} were not written",
             err=True,
         )
--- a/wigeonrouter/cli/main_test.py
+++ b/wigeonrouter/cli/main_test.py
@@ -1,4 +1,4 @@
-"""Guards against commands that misreport, or repeat what is not safe."""
+"""Guards against wrong reports of commands and unsafe repetition of writes."""
 
 import json
 import pathlib
@@ -20,7 +20,10 @@
 
 @pytest.fixture
 def run(store):
-    """Run the command against a served API; returns the click result."""
+    """A function that runs the command against an API server.
+
+    It returns the click result.
+    """
     daemon = conftest.FakeDaemon(store=store)
     server = pywsgi.WSGIServer(
         ("127.0.0.1", 0), administration.build_app(daemon=daemon), log=None
@@ -43,7 +46,7 @@
 
 @pytest.fixture
 def silent_server():
-    """A server that reads a request and closes without a reply."""
+    """A server that reads a request and closes without a response."""
     requests = []
 
     def handle(connection, _):
@@ -152,13 +155,15 @@
     assert "--change-id c1" in outcome.stderr
 
 
-def test_reads_go_on_to_the_next_server(run, silent_server, closed_address):
+def test_reads_fail_over_to_the_next_server(
+    run, silent_server, closed_address
+):
     servers = f"{closed_address},{silent_server[0]},{run.address}"
     assert run("status", servers=servers).exit_code == 0
     assert len(silent_server[1]) == 1
 
 
-def test_a_write_is_repeated_only_where_nothing_was_sent(
+def test_a_write_fails_over_only_if_nothing_was_sent(
     run, silent_server, closed_address
 ):
     servers = f"{closed_address},{run.address}"
@@ -175,7 +180,7 @@
     assert outcome.exit_code == 4
 
 
-def test_show_names_the_base_that_prevents_a_lost_update(run):
+def test_show_prints_the_base_that_prevents_a_lost_update(run):
     run("apply", "/a", "-", stdin={})
     shown = run("show", "/a")
     assert json.loads(shown.stdout) == {}
@@ -195,21 +200,21 @@
     assert shown["entries"][0]["comment"] == comment
 
 
-def test_errors_are_json_where_it_is_asked_for(run):
+def test_errors_are_json_if_requested(run):
     outcome = run("--output", "json", "show", "/nothing")
     assert json.loads(outcome.stderr)["error"] == "no-node"
     outcome = run("--output", "json", "validate", "-", stdin={"x": 1})
     assert json.loads(outcome.stderr)["errors"][0]["path"] == "$.x"
 
 
-def test_a_new_token_is_admitted_by_the_settings_printed_with_it(run):
-    made = json.loads(run("--output", "json", "token").stdout)
-    assert len(made["token"]) == 64
-    access = {"access": made["access"]}
+def test_a_new_token_is_accepted_with_the_settings_printed_with_it(run):
+    new_token = json.loads(run("--output", "json", "token").stdout)
+    assert len(new_token["token"]) == 64
+    access = {"access": new_token["access"]}
     run("apply", "/a", "-", "--settings-only", stdin=access)
-    outcome = run("--token", made["token"], "show", "/a")
+    outcome = run("--token", new_token["token"], "show", "/a")
     assert outcome.exit_code == 0
-    assert made["sha256"] not in outcome.stdout
+    assert new_token["sha256"] not in outcome.stdout
 
 
 @pytest.mark.parametrize("shell", ["bash", "zsh", "fish"])
@@ -244,7 +249,11 @@
     text = observability.expose(
         metrics=observability.Metrics(),
         gauges=observability.Gauges(
-            revision=0, ready=True, members={}, services=(), arriving=0
+            revision=0,
+            ready=True,
+            members={},
+            services=(),
+            unanswered_requests=0,
         ),
     )
     exposed = re.findall(r"^# TYPE (\w+)", text.decode(), re.MULTILINE)
--- a/wigeonrouter/daemon/_daemon.py
+++ b/wigeonrouter/daemon/_daemon.py
@@ -305,7 +305,7 @@
                     )
                     for name, dispatcher in self._handler.dispatchers.items()
                 ),
-                arriving=self._caller_server.requests_in_progress,
+                unanswered_requests=self._caller_server.requests_in_progress,
             ),
         )
 
--- a/wigeonrouter/node/_node.py
+++ b/wigeonrouter/node/_node.py
@@ -245,7 +245,7 @@
                 (name, balancer.waiting, balancer.in_flight)
                 for name, balancer in sorted(self._balancers.items())
             ),
-            arriving=self._callers.requests_in_progress,
+            unanswered_requests=self._callers.requests_in_progress,
             events=dict(self._events.counts),
             dropped=self._events.total_dropped,
         )
--- a/wigeonrouter/observability/__init__.py
+++ b/wigeonrouter/observability/__init__.py
@@ -1,7 +1,8 @@
-"""Logs, histograms and metrics.
+"""Logs, latency histograms and metrics.
 
-Logbook and prometheus_client take 8 MB and 40 ms to import. A process that
-logs in another way and is never asked for its metrics does without them.
+Importing logbook and prometheus_client takes 8 MB of memory and 40 ms. The
+names that need them are imported on first use, so that a process that logs
+in another way and whose metrics are never read does not load them.
 """
 
 import importlib
@@ -11,7 +12,7 @@
 Metrics = _metrics.Metrics
 RequestSample = _metrics.RequestSample
 
-_LATE = {
+_LAZY_NAMES = {
     "Gauges": ("_exposition", "Gauges"),
     "LogOutput": ("_logs", "LogOutput"),
     "METRICS_CONTENT_TYPE": ("_exposition", "CONTENT_TYPE"),
@@ -24,7 +25,7 @@
 
 def __getattr__(name):
     """Import the module of a name when it is first used."""
-    if name not in _LATE:
+    if name not in _LAZY_NAMES:
         raise AttributeError(f"module {__name__!r} has no {name!r}")
-    module, attribute = _LATE[name]
+    module, attribute = _LAZY_NAMES[name]
     return getattr(importlib.import_module(f"{__name__}.{module}"), attribute)
--- a/wigeonrouter/observability/_exposition.py
+++ b/wigeonrouter/observability/_exposition.py
@@ -1,4 +1,4 @@
-"""Metrics in the Prometheus text format."""
+"""Renders the metrics in the Prometheus text format."""
 
 import collections
 import dataclasses
@@ -14,21 +14,23 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Gauges:
-    """State of a daemon at one moment.
+    """Values of a daemon at the time of a scrape.
 
     Attributes:
-      members: dict from state to number of daemons.
+      revision: configuration revision that is applied.
+      ready: whether callers may be sent to the daemon.
+      members: dict from member state to number of daemons.
       services: iterable of (service, queue length, requests in flight).
-      arriving: caller requests that lack an answer.
-      events: dict from the name of a log event to its number since start.
-      dropped: log lines that were not written.
+      unanswered_requests: requests of callers without a response yet.
+      events: dict from the name of a log event to its count since the start.
+      dropped: log lines that were not written since the start.
     """
 
     revision: int
     ready: bool
     members: dict
     services: tuple
-    arriving: int
+    unanswered_requests: int
     events: dict = dataclasses.field(default_factory=dict)
     dropped: int = 0
 
@@ -45,7 +47,9 @@
 
 
 def expose(*, metrics, gauges):
-    """Return the metrics as bytes in the text format.
+    """Return the metrics in the Prometheus text format, as bytes.
+
+    Yields to other greenlets between two series.
 
     Args:
       metrics: a Metrics.
@@ -60,7 +64,11 @@
     for name, text, value in (
         ("revision", "Configuration revision in force", gauges.revision),
         ("ready", "1 if callers may be sent here", int(gauges.ready)),
-        ("requests_unanswered", "Requests without answer", gauges.arriving),
+        (
+            "requests_unanswered",
+            "Requests without answer",
+            gauges.unanswered_requests,
+        ),
     ):
         yield prometheus_core.GaugeMetricFamily(
             f"wigeonrouter_{name}", text, value=value
@@ -79,9 +87,9 @@
         "Requests at backend servers",
         labels=("service",),
     )
-    for service, length, flying in gauges.services:
+    for service, length, requests_in_flight in gauges.services:
         queue.add_metric((service,), length)
-        in_flight.add_metric((service,), flying)
+        in_flight.add_metric((service,), requests_in_flight)
     yield queue
     yield in_flight
     yield from _collect_events(gauges)
@@ -131,12 +139,16 @@
             window.add_metric((*key, f"{percent / 100:g}"), seconds)
         count, seconds = metrics.total(key)
         total.add_metric(key, count_value=count, sum_value=seconds)
-        # One series takes 0.4 ms; requests run in between.
+        # A series takes 0.4 ms; yields so that requests are not delayed.
         gevent.sleep(0)
     yield window
     yield total
 
 
 def count_states(members):
-    """Return a dict from state to number of core.Member."""
+    """Return a dict from state to number of members.
+
+    Args:
+      members: an iterable of core.Member.
+    """
     return dict(collections.Counter(member.state.value for member in members))
--- a/wigeonrouter/observability/_logs_test.py
+++ b/wigeonrouter/observability/_logs_test.py
@@ -1,4 +1,4 @@
-"""The limit on request lines and the escaping of values from callers."""
+"""The rate limit on request lines and the escaping of caller values."""
 
 import io
 import json
@@ -31,45 +31,53 @@
 
 @pytest.fixture
 def log():
-    """A RequestLog of 10 lines a second that writes JSON to a buffer."""
+    """A RequestLog of 10 lines per second with JSON output.
+
+    Returns:
+      The RequestLog, a list that holds its time in seconds, and a function
+      that returns the decoded lines.
+    """
     stream, now = io.StringIO(), [0.0]
     output = observability.LogOutput(
         log_format="json", level="info", stream=stream
     )
     with output.applicationbound():
-        made = observability.RequestLog(
+        request_log = observability.RequestLog(
             lines_per_second=10, clock=lambda: now[0]
         )
 
         def lines():
             return [json.loads(x) for x in stream.getvalue().splitlines()]
 
-        yield made, now, lines
+        yield request_log, now, lines
 
 
 def test_successes_do_not_hide_refusals(log):
-    """Guards against a flood of successes that uses up the limit."""
-    made, now, lines = log
+    """Guards against successes that use up the limit.
+
+    Rejected requests would then be missing from the log.
+    """
+    request_log, now, lines = log
     for _ in range(100):
-        made.add(_record())
+        request_log.add(_record())
     for _ in range(7):
-        made.add(_REFUSED)
+        request_log.add(_REFUSED)
     outcomes = [line["outcome"] for line in lines()]
     assert outcomes == ["ok"] * 5 + ["not-run"] * 5
     now[0] = 1.0
-    made.flush()
+    request_log.flush()
     last = lines()[-1]
     assert last["message"] == "request lines suppressed"
     assert (last["refusals"], last["successes"]) == (2, 95)
-    made.add(_record())
+    request_log.add(_record())
     assert lines()[-1]["latency_ms"] == 12.5
 
 
-def test_silent_second_writes_nothing(log):
-    """Guards against a line per second while nothing is suppressed."""
-    made, now, lines = log
+def test_second_without_requests_writes_nothing(log):
+    """Guards against a line each second although none was suppressed."""
+    request_log, now, lines = log
     now[0] = 5.0
-    made.flush()
+    request_log.flush()
     assert lines() == []
 
 
@@ -91,9 +99,11 @@
         log_format=log_format, level="info", stream=stream
     )
     with output.applicationbound():
-        made = observability.RequestLog(lines_per_second=10)
+        request_log = observability.RequestLog(lines_per_second=10)
         failed = core.Outcome.FAILED
-        made.add(_record(request_id=value, tenant=value, outcome=failed))
+        request_log.add(
+            _record(request_id=value, tenant=value, outcome=failed)
+        )
     text = stream.getvalue()
     assert text.count("\n") == 1 and text.endswith("\n")
     assert text[:-1].isascii() and text[:-1].isprintable()
--- a/wigeonrouter/observability/_metrics.py
+++ b/wigeonrouter/observability/_metrics.py
@@ -1,10 +1,11 @@
 """Latency histograms and counters by service, kind and tenant.
 
 Each series has a total count and sum, and one histogram per slice of a
-sliding window. A request is recorded once: the pure-Python HdrHistogram takes
-2.7 microseconds to record a value, 18 to add a whole histogram and 210 to
-find three quantiles. Its mean takes several milliseconds, so sums are kept
-apart.
+sliding window. A request is recorded in the current slice only, and the
+slices are added when quantiles are read: the pure-Python HdrHistogram takes
+2.7 microseconds to record a value, 18 to add a histogram and 210 to compute
+three quantiles. Its mean takes several milliseconds, so the sum is kept
+separately.
 """
 
 import collections
@@ -16,27 +17,30 @@
 
 from wigeonrouter import core
 
-# Latencies from 10 microseconds to 2 minutes with two significant digits.
-# A histogram takes 19 KB; 4-byte counters would wrap within weeks.
-_LOWEST_US = 10
-_HIGHEST_US = 120_000_000
-_DIGITS = 2
-SLICES = 6
+# Histograms cover 10 microseconds to 2 minutes with two significant digits
+# and take 19 KB each. Smaller counters of 4 bytes would overflow in weeks.
+_MIN_LATENCY_US = 10
+_MAX_LATENCY_US = 120_000_000
+_SIGNIFICANT_DIGITS = 2
+WINDOW_SLICES = 6
 SLICE_S = 10.0
-# Tenant names come from callers. A series takes up to 115 KB, so this bound
-# keeps the histograms of a daemon below 23 MB.
+# Callers choose the tenant names, so the number of series has to be bounded.
+# A series takes up to 115 KB, which limits the histograms to 23 MB.
 MAX_SERIES = 200
+# Label value of the series that collects requests beyond the bound.
 OTHER = "(other)"
 _PERCENTILES = (50, 99, 99.9)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RequestSample:
-    """What the metrics get to know of a request.
+    """The properties of a finished request that the metrics record.
 
     Attributes:
-      problem: name of the problem type, empty where there was none.
-      latency: seconds from its arrival to its answer.
+      service: path of the service.
+      kind: name of the class of requests.
+      problem: name of the problem type, empty if none.
+      latency: seconds from the arrival of the request to its response.
     """
 
     service: str
@@ -48,27 +52,35 @@
 
 
 class Metrics:
-    """Owns the histograms of one daemon."""
+    """Counters and latency histograms of one daemon.
+
+    Args:
+      clock: function that returns monotonic seconds.
+    """
 
     def __init__(self, *, clock=time.monotonic):
         self._clock = clock
         self._slice_ends = clock() + SLICE_S
         self._current = {}
-        # Ended slices, oldest first.
-        self._window = collections.deque(maxlen=SLICES - 1)
+        # Completed slices of the window, oldest first.
+        self._window = collections.deque(maxlen=WINDOW_SLICES - 1)
         self._totals = {}
         self._counts = collections.Counter()
 
     @property
     def counts(self):
-        """Counter by (service, kind, tenant, outcome, problem)."""
+        """Counter of requests by (service, kind, tenant, outcome, problem)."""
         return self._counts
 
     def observe(self, record):
-        """Add a RequestSample, or a record with the same fields."""
+        """Record a finished request.
+
+        Args:
+          record: RequestSample, or an object with the same attributes.
+        """
         if self._clock() >= self._slice_ends:
             self.rotate()
-        key = self._key(record)
+        key = self._series_key(record)
         self._counts[(*key, record.outcome.value, record.problem)] += 1
         values = self._current.get(key)
         if values is None:
@@ -77,35 +89,43 @@
         total[0] += 1
         total[1] += record.latency
         values.record_value(
-            min(_HIGHEST_US, max(_LOWEST_US, int(record.latency * 1e6)))
+            min(
+                _MAX_LATENCY_US,
+                max(_MIN_LATENCY_US, int(record.latency * 1e6)),
+            )
         )
 
     def rotate(self):
-        """End the slices whose time is over.
+        """Complete the slices whose time has passed.
 
-        The daemon calls this once a second, so that the window also moves
-        when no request arrives.
+        Called once a second, so that the window also moves if no request
+        arrives.
         """
         now = self._clock()
         if now < self._slice_ends:
             return
-        ended = min(SLICES, 1 + int((now - self._slice_ends) / SLICE_S))
+        ended = min(WINDOW_SLICES, 1 + int((now - self._slice_ends) / SLICE_S))
         self._slice_ends = now + SLICE_S - (now - self._slice_ends) % SLICE_S
         for _ in range(ended):
             self._window.append(self._current)
             self._current = {}
 
     def total(self, key):
-        """Return (count, sum in seconds) of a series since the start."""
+        """Return (count, sum in seconds) of a series since the start.
+
+        Args:
+          key: (service, kind, tenant).
+        """
         return tuple(self._totals[key])
 
     def quantiles(self, key):
-        """Return the latencies of a series in the last minute.
+        """Return the latency quantiles of a series in the last minute.
 
         Args:
           key: (service, kind, tenant).
         Returns:
-          A pair: number of requests, dict from percentile to seconds.
+          A pair: number of requests, and a dict from percentile to seconds,
+          which is empty if there were no requests.
         """
         merged = _new_histogram()
         for source in (*self._window, self._current):
@@ -120,14 +140,14 @@
         }
 
     def keys(self):
-        """Return the sorted list of all (service, kind, tenant)."""
+        """Return the sorted keys (service, kind, tenant) of all series."""
         return sorted(self._totals)
 
     def summary(self):
-        """Return a list of dicts with counts and latency quantiles in ms.
+        """Return counts and latency quantiles as a list of dicts.
 
-        The quantiles are of the last minute. Other tasks run between two
-        series, since one takes 0.4 ms.
+        The quantiles are in milliseconds and cover the last minute. Yields to
+        other greenlets between two series, since each takes 0.4 ms.
         """
         outcomes = collections.defaultdict(collections.Counter)
         for (*key, outcome, _), count in self._counts.items():
@@ -151,12 +171,13 @@
             gevent.sleep(0)
         return rows
 
-    def _key(self, record):
-        """Return the key of the record's series, folded beyond the bound.
+    def _series_key(self, record):
+        """Return the key of the series that a record belongs to.
 
-        Half of the series are for single tenants. The other half is for
-        (service, kind) pairs, whose number the configuration limits only
-        loosely.
+        Half of MAX_SERIES is for individual tenants. Beyond it, tenants share
+        one series for each (service, kind), whose number the configuration
+        limits only loosely. Once MAX_SERIES is reached, all further ones
+        share a single series.
         """
         key = (record.service, record.kind, record.tenant)
         if key in self._totals:
@@ -172,4 +193,6 @@
 
 
 def _new_histogram():
-    return histogram.HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+    return histogram.HdrHistogram(
+        _MIN_LATENCY_US, _MAX_LATENCY_US, _SIGNIFICANT_DIGITS
+    )
--- a/wigeonrouter/observability/_metrics_test.py
+++ b/wigeonrouter/observability/_metrics_test.py
@@ -1,4 +1,4 @@
-"""The sliding window, the bound on series and the text format."""
+"""The sliding window, the limit on series and the text format."""
 
 from prometheus_client import parser
 import pytest
@@ -11,7 +11,7 @@
 
 @pytest.fixture
 def clock():
-    """A clock that the test sets."""
+    """A clock whose time in seconds the test sets as now[0]."""
     now = [100.0]
 
     def read():
@@ -43,8 +43,8 @@
         )
 
 
-def test_window_forgets_and_total_keeps(metrics, clock):
-    """Guards against old latencies in the window or lost ones in totals."""
+def test_window_drops_old_latencies_and_total_keeps_them(metrics, clock):
+    """Guards against expired latencies in the window and incomplete totals."""
     key = ("/a", "read", "t")
     _observe(metrics, latency=1.0, count=10)
     clock.now[0] += 30
@@ -65,7 +65,7 @@
 
 
 def test_series_are_bounded(metrics):
-    """Guards against memory that callers fill with tenant names."""
+    """Guards against unbounded memory use by many tenant names."""
     for number in range(1000):
         _observe(metrics, latency=0.01, tenant=f"tenant-{number}")
     for number in range(1000):
@@ -76,7 +76,7 @@
 
 
 def test_text_format_can_be_parsed(metrics):
-    """Guards against label values that break the text format."""
+    """Guards against label values that corrupt the text format."""
     _observe(metrics, latency=0.01, tenant='x"\n\\y', count=3)
     text = observability.expose(
         metrics=metrics,
@@ -85,7 +85,7 @@
             ready=True,
             members={"alive": 3},
             services=(("/a", 2, 4),),
-            arriving=1,
+            unanswered_requests=1,
         ),
     ).decode()
     samples = {
