--- a/wigeonrouter/bench/_node_parts.py
+++ b/wigeonrouter/bench/_node_parts.py
@@ -86,14 +86,19 @@
     """Measure a choice among the near servers of one service."""
     rng = random.Random(1)
     views = [_view(number, rng) for number in range(servers)]
-    job = placement.Job(
-        priority=1, idempotent=True, arrived=0.0, target=0.4, give_up=2.0
+    job = placement.PendingRequest(
+        priority=1, idempotent=True, arrived=0.0, target_time=0.4, deadline=2.0
     )
 
     def choose():
-        options = {"job": job, "work": 0.16, "usual": 1.75, "now": 0.0}
-        placement.probe_candidates(views, most=4, **options)
-        placement.choose(views, pressure=0.5, **options)
+        options = {
+            "request": job,
+            "service_time": 0.16,
+            "mean_slowdown": 1.75,
+            "now": 0.0,
+        }
+        placement.probe_candidates(views, max_servers=4, **options)
+        placement.choose(views, utilization=0.5, **options)
 
     return {"cpu_s": _measuring.cpu_seconds_each(choose)}
 
@@ -180,15 +185,15 @@
 def _view(number, rng):
     return placement.ServerView(
         instance=f"i-{number}",
-        tier=placement.Tier.REGION,
+        locality=placement.Locality.REGION,
         slots=2,
         report=placement.LoadReport(
             running=rng.randrange(2),
             queued=0,
             slots=2,
-            slowness=rng.choice((1.0, 1.0, 1.0, 4.0)),
+            slowdown=rng.choice((1.0, 1.0, 1.0, 4.0)),
             received=-rng.uniform(0, 0.5),
-            own=0,
+            own_in_flight=0,
         ),
     )
 
--- a/wigeonrouter/node/_balancer.py
+++ b/wigeonrouter/node/_balancer.py
@@ -37,11 +37,11 @@
         self._budget = budget
         self._rng = rng
         self._clock = clock
-        self._line = placement.WaitingLine()
-        self._late_rate = placement.late_rate()
-        self._arrivals = placement.RecentRate(window=_ARRIVAL_WINDOW_S)
+        self._line = placement.RequestQueue()
+        self._late_rate = placement.late_dispatch_rate()
+        self._arrivals = placement.SlidingWindowRate(window=_ARRIVAL_WINDOW_S)
         # Those that could still be in time when they came.
-        self._timely = placement.RecentRate(window=_ARRIVAL_WINDOW_S)
+        self._timely = placement.SlidingWindowRate(window=_ARRIVAL_WINDOW_S)
 
     @property
     def budget(self):
@@ -67,16 +67,16 @@
         """Wait for a server.
 
         Args:
-          job: placement.Job.
+          job: placement.PendingRequest.
           route: topology.Route of the request.
         Returns:
           Grant, which must be released, or dialect.Refused.
         """
-        work = self._servers.times.work(route)
+        work = self._servers.times.service_time(route)
         now = self._clock()
-        self._arrivals.count(now)
-        if not placement.is_late(job, work=work, now=now):
-            self._timely.count(now)
+        self._arrivals.record(now)
+        if not placement.is_late(job, service_time=work, now=now):
+            self._timely.record(now)
         refused = self._turn_away(job, work, now)
         if refused is not None:
             return refused
@@ -90,8 +90,8 @@
                     grant = self._try_place(job, work)
                 if grant is not None:
                     now = self._clock()
-                    if placement.is_late(job, work=work, now=now):
-                        self._late_rate.count(now)
+                    if placement.is_late(job, service_time=work, now=now):
+                        self._late_rate.record(now)
                     return grant
                 entry.wait(timeout=poll)
                 entry.clear()
@@ -108,7 +108,7 @@
         Args:
           grant: Grant.
           route: topology.Route of the request.
-          ended: placement.Ended.
+          ended: placement.AttemptOutcome.
           load: dialect.Load of the answer, or None.
           latency: seconds from sending to the end.
           late: whether it ended because no time was left.
@@ -131,29 +131,29 @@
         if not self._servers.any:
             return self._no_server()
         wait = placement.expected_wait(
-            ahead=self._line.ahead(job, work, now),
-            work=work,
-            slowness=self._servers.times.slowness,
+            ahead=self._line.count_ahead(job, work, now),
+            service_time=work,
+            slowdown=self._servers.times.mean_slowdown,
             slots=self._servers.slots,
         )
-        if placement.turn_away(job, wait=wait, work=work, now=now):
+        if placement.should_reject(job, wait=wait, service_time=work, now=now):
             return self._overloaded(job, wait, work, now)
         return self._turn_late_away(job, work, now)
 
     def _turn_late_away(self, job, work, now):
-        if not placement.is_late(job, work=work, now=now):
+        if not placement.is_late(job, service_time=work, now=now):
             return None
-        spare = placement.spare_rate(
+        spare = placement.spare_throughput(
             slots=self._servers.slots,
-            work=work,
-            slowness=self._servers.times.slowness,
-            arrivals=self._timely.per_second(now),
+            service_time=work,
+            slowdown=self._servers.times.mean_slowdown,
+            arrival_rate=self._timely.per_second(now),
         )
-        wait = placement.late_wait(
+        wait = placement.expected_late_wait(
             ahead=self._line.count_late(now),
             rate=max(spare, self._late_rate.per_second(now)),
         )
-        if placement.turn_late_away(job, wait=wait, now=now):
+        if placement.should_reject_late(job, wait=wait, now=now):
             return self._overloaded(job, wait, work, now)
         return None
 
@@ -161,9 +161,9 @@
         """Return the refusal of a request that waited in vain, if it did."""
         if not self._servers.any:
             return self._no_server()
-        if placement.turn_away(job, wait=0.0, work=work, now=now):
+        if placement.should_reject(job, wait=0.0, service_time=work, now=now):
             return self._overloaded(job, work, work, now)
-        if now - job.target + work < 2 * _MOST_POLL_S:
+        if now - job.target_time + work < 2 * _MOST_POLL_S:
             # It has just become late; from now on it waits with the others.
             return self._turn_late_away(job, work, now)
         return None
@@ -180,8 +180,9 @@
             retry_after=placement.retry_after(wait=wait, rng=self._rng),
             detail=(
                 f"expected wait {wait * 1000:.0f} ms, work"
-                f" {work * 1000:.0f} ms, left {(job.give_up - now) * 1000:.0f}"
-                f" ms, {(job.target - now) * 1000:.0f} ms to the target,"
+                f" {work * 1000:.0f} ms,"
+                f" left {(job.deadline - now) * 1000:.0f}"
+                f" ms, {(job.target_time - now) * 1000:.0f} ms to the target,"
                 f" {len(self._line)} waiting"
             ),
         )
@@ -199,22 +200,22 @@
         """Look for a server once; may ask servers for their load."""
         most = placement.probe_count(self._arrivals.per_second(self._clock()))
         pick = self._look(job, work, most, far=False)
-        if pick.view is not None and not pick.wait:
+        if pick.view is not None and not pick.should_wait:
             return self._servers.grant(pick, work)
         far = self._look_far(job, work)
         now = self._clock()
         if far.view is not None:
-            waiting = placement.worth_of_waiting(
-                job=job,
-                work=work,
-                usual=self._servers.times.slowness,
+            waiting = placement.utility_of_waiting(
+                request=job,
+                service_time=work,
+                mean_slowdown=self._servers.times.mean_slowdown,
                 now=now,
-                ahead=self._line.ahead(job, work, now) - 1,
+                ahead=self._line.count_ahead(job, work, now) - 1,
                 slots=self._servers.slots,
             )
-            if far.worth > max(pick.worth, waiting):
+            if far.expected_utility > max(pick.expected_utility, waiting):
                 return self._servers.grant(far, work)
-        late = placement.is_late(job, work=work, now=now)
+        late = placement.is_late(job, service_time=work, now=now)
         if pick.view is not None and late:
             return self._servers.grant(pick, work)
         return None
@@ -231,11 +232,11 @@
             return self._look(job, work, _servers.PROBES_FAR, far=True)
         return placement.choose(
             self._servers.fresh_far(),
-            job=job,
-            work=work,
-            usual=self._servers.times.slowness,
+            request=job,
+            service_time=work,
+            mean_slowdown=self._servers.times.mean_slowdown,
             now=self._clock(),
-            pressure=1.0,
+            utilization=1.0,
         )
 
     def _look(self, job, work, most, *, far):
@@ -243,21 +244,21 @@
         servers = self._servers
         candidates = placement.probe_candidates(
             servers.far if far else servers.near,
-            job=job,
-            work=work,
-            usual=servers.times.slowness,
+            request=job,
+            service_time=work,
+            mean_slowdown=servers.times.mean_slowdown,
             now=self._clock(),
-            most=most,
+            max_servers=most,
         )
         if candidates:
             servers.ask(candidates, far=far)
         return placement.choose(
             servers.far if far else servers.near,
-            job=job,
-            work=work,
-            usual=servers.times.slowness,
+            request=job,
+            service_time=work,
+            mean_slowdown=servers.times.mean_slowdown,
             now=self._clock(),
-            pressure=self._pressure(),
+            utilization=self._pressure(),
         )
 
     def _wake(self):
--- a/wigeonrouter/node/_proxy.py
+++ b/wigeonrouter/node/_proxy.py
@@ -32,7 +32,7 @@
     request_id: str
     route: topology.Route
     service: str
-    job: placement.Job
+    job: placement.PendingRequest
     attempts: int = 0
     unreached: int = 0
     may_have_run: bool = False
@@ -76,7 +76,7 @@
         found = {}
         for route, usual in self._usual_waits.items():
             kept = self._world.waits.get(route)
-            learned = usual.learned
+            learned = usual.learned_timeout
             if learned is not None and (
                 kept is None or abs(learned - kept) > _WAIT_CHANGE * kept
             ):
@@ -159,15 +159,20 @@
             remaining = route.timeout
         usual = self._usual_waits.get(route.name)
         if usual is None:
-            usual = placement.UsualWait(kept=self._world.waits.get(route.name))
+            usual = placement.CallerTimeoutEstimate(
+                stored=self._world.waits.get(route.name)
+            )
             self._usual_waits[route.name] = usual
-        spent = usual.spent(remaining)
-        return placement.Job(
+        spent = usual.estimate_age(remaining)
+        return placement.PendingRequest(
             priority=route.priority,
             idempotent=route.idempotent,
             arrived=arrived,
-            target=arrived + route.target_latency - spent - _ANSWER_TRAVEL_S,
-            give_up=arrived + min(remaining, route.timeout),
+            target_time=arrived
+            + route.target_latency
+            - spent
+            - _ANSWER_TRAVEL_S,
+            deadline=arrived + min(remaining, route.timeout),
         )
 
     def _run(self, call, balancer):
@@ -191,11 +196,11 @@
                 request_id=call.request_id,
                 registration=grant.registration,
                 idempotent=call.route.idempotent,
-                give_up=call.job.give_up,
+                give_up=call.job.deadline,
             )
             return attempt
         finally:
-            ended = placement.Ended.CANCELLED
+            ended = placement.AttemptOutcome.CANCELLED
             load = None
             if attempt is None:
                 # Stopped or failed on the way; the request may be there.
@@ -217,7 +222,7 @@
     def _conclude(self, call, balancer, grant, attempt):
         """Return the final result after an attempt, None to try again."""
         instance = grant.registration.instance
-        if attempt.ended is placement.Ended.UNREACHABLE:
+        if attempt.ended is placement.AttemptOutcome.UNREACHABLE:
             call.unreached += 1
             call.job = _exclude(call.job, instance)
             if call.unreached <= _MAX_UNREACHED:
@@ -232,7 +237,7 @@
             call.may_have_run = True
         if attempt.answer is not None and attempt.answer.misdirected:
             balancer.misdirected(instance)
-        if attempt.ended is placement.Ended.ANSWERED:
+        if attempt.ended is placement.AttemptOutcome.SUCCEEDED:
             return attempt.response
         if self._may_repeat(call, balancer, attempt):
             call.job = _exclude(call.job, instance)
@@ -245,7 +250,7 @@
         if call.attempts >= call.route.max_attempts:
             return False
         now = self._clock()
-        if now >= call.job.give_up:
+        if now >= call.job.deadline:
             return False
         return balancer.budget.try_spend(now)
 
@@ -279,7 +284,7 @@
             version=self._world.configuration.version,
             attempts=call.attempts,
             took_ms=_ms(now - call.job.arrived),
-            left_to_target_ms=_ms(call.job.target - now),
+            left_to_target_ms=_ms(call.job.target_time - now),
             **fields,
         )
 
--- a/wigeonrouter/node/_sender.py
+++ b/wigeonrouter/node/_sender.py
@@ -28,7 +28,7 @@
     """How an attempt ended.
 
     Attributes:
-      ended: placement.Ended.
+      ended: placement.AttemptOutcome.
       response: the server's whole HttpResponse, None where there is none.
       answer: dialect.ServerAnswer of it.
       may_have_run: whether the server may have begun to work on it.
@@ -36,7 +36,7 @@
       detail: what was seen, for the log.
     """
 
-    ended: placement.Ended
+    ended: placement.AttemptOutcome
     may_have_run: bool
     response: http1.HttpResponse | None = None
     answer: dialect.ServerAnswer | None = None
@@ -76,7 +76,7 @@
             )
         except http1.ConnectFailed as error:
             return Attempt(
-                ended=placement.Ended.UNREACHABLE,
+                ended=placement.AttemptOutcome.UNREACHABLE,
                 may_have_run=False,
                 detail=str(error),
             )
@@ -105,7 +105,7 @@
         remaining = give_up - self._clock()
         if remaining <= 0:
             return Attempt(
-                ended=placement.Ended.CANCELLED,
+                ended=placement.AttemptOutcome.CANCELLED,
                 may_have_run=False,
                 detail="no time left",
             )
@@ -120,13 +120,13 @@
                 return self._read(request, request_id)
         except http1.NotSent as error:
             return Attempt(
-                ended=placement.Ended.UNREACHABLE,
+                ended=placement.AttemptOutcome.UNREACHABLE,
                 may_have_run=False,
                 detail=str(error),
             )
         except (OSError, http1.MalformedMessage) as error:
             return Attempt(
-                ended=placement.Ended.LOST,
+                ended=placement.AttemptOutcome.RESPONSE_LOST,
                 may_have_run=True,
                 late=isinstance(error, TimeoutError),
                 detail=f"{type(error).__name__}: {error}",
@@ -163,7 +163,7 @@
 
 def _ending(response, answer):
     if answer.not_run:
-        return placement.Ended.REFUSED
+        return placement.AttemptOutcome.REJECTED
     if response.status >= 500:
-        return placement.Ended.FAILED
-    return placement.Ended.ANSWERED
+        return placement.AttemptOutcome.FAILED
+    return placement.AttemptOutcome.SUCCEEDED
--- a/wigeonrouter/node/_servers.py
+++ b/wigeonrouter/node/_servers.py
@@ -78,13 +78,13 @@
         self._health_path = ""
         self._registrations = {}
         self._views = {}
-        self._times = placement.WorkTimes()
+        self._times = placement.ServiceTimes()
         self._far_task = None
         self._far_wanted_until = float("-inf")
 
     @property
     def times(self):
-        """placement.WorkTimes of the service."""
+        """placement.ServiceTimes of the service."""
         return self._times
 
     @property
@@ -103,7 +103,7 @@
         return [
             view
             for view in self._views.values()
-            if view.tier is not placement.Tier.REMOTE
+            if view.locality is not placement.Locality.REMOTE
         ]
 
     @property
@@ -112,7 +112,7 @@
         return [
             view
             for view in self._views.values()
-            if view.tier is placement.Tier.REMOTE
+            if view.locality is placement.Locality.REMOTE
         ]
 
     @property
@@ -151,7 +151,7 @@
             views[instance] = dataclasses.replace(
                 view,
                 slots=registration.slots,
-                warm_until=entry.learned + registration.warm_up,
+                slow_start_until=entry.learned + registration.warm_up,
             )
         self._registrations, self._views = registrations, views
 
@@ -203,18 +203,21 @@
         grant = Grant(
             registration=self._registrations[view.instance],
             at=now,
-            slowness=placement.expected_slowness(
-                view, now, self._times.slowness
+            slowness=placement.expected_slowdown(
+                view, now, self._times.mean_slowdown
             ),
-            full=placement.is_full(load, view.slots),
+            full=placement.is_nearly_full(load, view.slots),
             report_age=(
                 None if view.report is None else now - view.report.received
             ),
-            worth=pick.worth,
+            worth=pick.expected_utility,
             load=load,
             round_trip=view.round_trip,
-            expected=placement.expected_seconds(
-                view, work=work, usual=self._times.slowness, now=now
+            expected=placement.expected_latency(
+                view,
+                service_time=work,
+                mean_slowdown=self._times.mean_slowdown,
+                now=now,
             ),
         )
         self._views[view.instance] = dataclasses.replace(
@@ -227,17 +230,17 @@
         instance = grant.registration.instance
         view = self._views.get(instance)
         if late and latency < _PATIENCE * grant.expected:
-            ended = placement.Ended.LATE
+            ended = placement.AttemptOutcome.TIMED_OUT
         if view is not None:
             self._learn(view, ended, load)
-        if ended is placement.Ended.ANSWERED:
-            self._times.learn_work(
+        if ended is placement.AttemptOutcome.SUCCEEDED:
+            self._times.record_service_time(
                 route,
-                placement.normal_work(
+                placement.undisturbed_service_time(
                     latency=latency,
                     round_trip=grant.round_trip,
-                    slowness=grant.slowness,
-                    full=grant.full,
+                    slowdown=grant.slowness,
+                    nearly_full=grant.full,
                 ),
             )
 
@@ -248,21 +251,21 @@
             report = self._report(load, view, now)
             view = dataclasses.replace(view, report=report)
         view = dataclasses.replace(view, in_flight=max(0, view.in_flight - 1))
-        if load is None and ended is placement.Ended.REFUSED:
+        if load is None and ended is placement.AttemptOutcome.REJECTED:
             view = dataclasses.replace(view, report=_full_report(view, now))
-        self._replace(placement.after_answer(view, ended=ended, now=now))
+        self._replace(placement.after_attempt(view, outcome=ended, now=now))
 
     def _replace(self, view):
         """Take over a view, and note where it changes what gets work."""
         before = self._views[view.instance]
         self._views[view.instance] = view
-        if view.retry_at > before.retry_at:
+        if view.ejected_until > before.ejected_until:
             self._events.event(
                 "server-paused",
                 instance=view.instance,
-                failures=view.failures,
-                silent=view.silent,
-                for_ms=round((view.retry_at - self._clock()) * 1000),
+                failures=view.consecutive_failures,
+                silent=view.consecutive_no_response,
+                for_ms=round((view.ejected_until - self._clock()) * 1000),
             )
         elif _is_suspect(before) and not _is_suspect(view):
             self._events.event("server-back", instance=view.instance)
@@ -273,15 +276,15 @@
     def _new_view(self, registration):
         place = registration.place
         if place.failure_domain == self._place.failure_domain:
-            tier = placement.Tier.DOMAIN
+            locality = placement.Locality.DOMAIN
         elif place.region == self._place.region:
-            tier = placement.Tier.REGION
+            locality = placement.Locality.REGION
         else:
-            tier = placement.Tier.REMOTE
-        far = tier is placement.Tier.REMOTE
+            locality = placement.Locality.REMOTE
+        far = locality is placement.Locality.REMOTE
         return placement.ServerView(
             instance=registration.instance,
-            tier=tier,
+            locality=locality,
             slots=registration.slots,
             round_trip=_FAR_ROUND_TRIP_S if far else _NEAR_ROUND_TRIP_S,
         )
@@ -300,7 +303,7 @@
             return
         now = self._clock()
         if answer is None:
-            self._replace(placement.after_silence(view, now=now))
+            self._replace(placement.after_no_response(view, now=now))
             return
         if not answer.mine:
             self.misdirected(instance)
@@ -319,19 +322,19 @@
         )
 
     def _report(self, load, view, now):
-        self._times.learn_slowness(load.slowness)
+        self._times.record_slowdown(load.slowness)
         return placement.LoadReport(
             running=load.running,
             queued=load.queued,
             slots=load.slots,
-            slowness=load.slowness,
+            slowdown=load.slowness,
             received=now,
-            own=view.in_flight,
+            own_in_flight=view.in_flight,
         )
 
 
 def _is_suspect(view):
-    return view.failures > 0 or view.silent > 1
+    return view.consecutive_failures > 0 or view.consecutive_no_response > 1
 
 
 def _full_report(view, now):
@@ -340,7 +343,7 @@
         running=view.slots,
         queued=1,
         slots=view.slots,
-        slowness=view.report.slowness if view.report else 1.0,
+        slowdown=view.report.slowdown if view.report else 1.0,
         received=now,
-        own=view.in_flight,
+        own_in_flight=view.in_flight,
     )
--- a/wigeonrouter/placement/__init__.py
+++ b/wigeonrouter/placement/__init__.py
@@ -1,49 +1,49 @@
-"""Decisions on how work is placed, waits and is turned away.
+"""Load balancing decisions: server selection, queueing and load shedding.
 
 Pure functions over immutable records, and small classes that own counters.
-None reads a clock or does any input or output. Each module names the load
-pattern that it answers.
+None reads a clock or does input or output. Each module docstring names the
+load pattern that the module handles.
 """
 
-from wigeonrouter.placement import _age
 from wigeonrouter.placement import _budget
+from wigeonrouter.placement import _caller_timeout
 from wigeonrouter.placement import _choice
 from wigeonrouter.placement import _estimate
 from wigeonrouter.placement import _health
+from wigeonrouter.placement import _queueing
 from wigeonrouter.placement import _records
-from wigeonrouter.placement import _waiting
 
-Ended = _health.Ended
-Job = _records.Job
+AttemptOutcome = _health.AttemptOutcome
+PendingRequest = _records.PendingRequest
 LoadReport = _records.LoadReport
 Pick = _choice.Pick
-RecentRate = _waiting.RecentRate
+SlidingWindowRate = _queueing.SlidingWindowRate
 RetryBudget = _budget.RetryBudget
 ServerView = _records.ServerView
-Tier = _records.Tier
-UsualWait = _age.UsualWait
-WaitingLine = _waiting.WaitingLine
-WorkTimes = _estimate.WorkTimes
+Locality = _records.Locality
+CallerTimeoutEstimate = _caller_timeout.CallerTimeoutEstimate
+RequestQueue = _queueing.RequestQueue
+ServiceTimes = _estimate.ServiceTimes
 
-after_answer = _health.after_answer
+after_attempt = _health.after_attempt
 after_probe = _health.after_probe
-after_silence = _health.after_silence
+after_no_response = _health.after_no_response
 expected_load = _estimate.expected_load
-expected_seconds = _estimate.expected_seconds
-expected_slowness = _estimate.expected_slowness
-expected_wait = _waiting.expected_wait
-is_late = _waiting.is_late
-is_full = _estimate.is_full
+expected_latency = _estimate.expected_latency
+expected_slowdown = _estimate.expected_slowdown
+expected_wait = _queueing.expected_wait
+is_late = _queueing.is_late
+is_nearly_full = _estimate.is_nearly_full
 choose = _choice.choose
-WAIT_S = _choice.WAIT_S
-may_use = _health.may_use
-normal_work = _estimate.normal_work
+EXPECTED_SLOT_WAIT_S = _choice.EXPECTED_SLOT_WAIT_S
+is_available = _health.is_available
+undisturbed_service_time = _estimate.undisturbed_service_time
 probe_candidates = _choice.probe_candidates
 probe_count = _choice.probe_count
-retry_after = _waiting.retry_after
-spare_rate = _waiting.spare_rate
-late_rate = _waiting.late_rate
-late_wait = _waiting.late_wait
-turn_late_away = _waiting.turn_late_away
-turn_away = _waiting.turn_away
-worth_of_waiting = _choice.worth_of_waiting
+retry_after = _queueing.retry_after
+spare_throughput = _queueing.spare_throughput
+late_dispatch_rate = _queueing.late_dispatch_rate
+expected_late_wait = _queueing.expected_late_wait
+should_reject_late = _queueing.should_reject_late
+should_reject = _queueing.should_reject
+utility_of_waiting = _choice.utility_of_waiting
--- a/wigeonrouter/placement/_budget.py
+++ b/wigeonrouter/placement/_budget.py
@@ -1,36 +1,41 @@
-"""Bounds further attempts to a share of the requests of a service.
+"""Limits retries to a ratio of the requests of a service.
 
-Load pattern: a service fails widely, and each node would repeat each
-request. Every node keeps its further attempts below the share of its own
-requests in a sliding window, so the sum over all nodes keeps it too, without
-messages, in bursts and after restarts.
+Load pattern: many servers of a service fail at once, and every node would
+retry every request. Each node keeps its retries below the ratio of its own
+requests in a sliding window. The sum over all nodes then also stays below the
+ratio, without communication between nodes, during bursts and after restarts.
 """
 
 import collections
 
 
 class RetryBudget:
-    """Counts requests and further attempts in a sliding window."""
+    """Counts requests and retries in a sliding window."""
 
     def __init__(self, *, ratio, window):
-        """Take the attempts per request and the window in seconds."""
+        """Set the retries per request and the window in seconds."""
         self._ratio = ratio
         self._window = window
         self._requests = collections.deque()
         self._retries = collections.deque()
 
     def configure(self, *, ratio, window):
-        """Take over a changed ratio and window in seconds."""
+        """Change the retries per request and the window in seconds."""
         self._ratio = ratio
         self._window = window
 
     def on_request(self, now):
-        """Count a request of a caller."""
+        """Count the first attempt of a request at `now`, in seconds."""
         _expire(self._requests, now - self._window)
         self._requests.append(now)
 
     def try_spend(self, now):
-        """Take one further attempt; return whether it was allowed."""
+        """Spend one retry if the budget allows it.
+
+        Returns:
+          Whether the retry may be made. At least one retry in a window is
+          allowed.
+        """
         _expire(self._requests, now - self._window)
         _expire(self._retries, now - self._window)
         if len(self._retries) + 1 > self._ratio * len(self._requests) + 1:
--- a/wigeonrouter/placement/_budget_test.py
+++ b/wigeonrouter/placement/_budget_test.py
@@ -1,4 +1,4 @@
-"""Tests of the bound on further attempts."""
+"""Tests of the retry budget."""
 
 import hypothesis
 from hypothesis import strategies
@@ -16,24 +16,24 @@
     )
 )
 def test_no_window_exceeds_the_ratio(steps):
-    """Guards against a window with more repeats than requests allow."""
+    """Guards against a window with more retries than its requests allow."""
     budget = placement.RetryBudget(ratio=0.2, window=10.0)
-    now, requests, repeats = 0.0, [], []
+    now, requests, retries = 0.0, [], []
     for pause, is_request in steps:
         now += pause
         if is_request:
             budget.on_request(now)
             requests.append(now)
         elif budget.try_spend(now):
-            repeats.append(now)
+            retries.append(now)
             oldest = now - 10.0
-            in_window = sum(time >= oldest for time in repeats)
+            in_window = sum(time >= oldest for time in retries)
             allowed = 0.2 * sum(time >= oldest for time in requests) + 1
             assert in_window <= allowed
 
 
-def test_budget_returns_with_requests():
-    """Guards against a service that never repeats again after a burst."""
+def test_requests_refill_the_budget():
+    """Guards against a service that never retries again after a burst."""
     budget = placement.RetryBudget(ratio=0.2, window=10.0)
     assert budget.try_spend(0.0)
     assert not budget.try_spend(0.0)
--- a/wigeonrouter/placement/_choice.py
+++ b/wigeonrouter/placement/_choice.py
@@ -1,10 +1,13 @@
-"""Chooses the backend server of a request, or to wait for a better one.
+"""Selects the backend server of a request, or waits for a better one.
 
-Load pattern: few slots a server, a quarter of the servers several times
-slower at any moment, requests that are worth ten times more when answered
-in time. A request is sent where the chance of an answer in time is best. It
-waits at the node while a server that fits may still come free, and a late
-request leaves room for those that can be in time.
+Load pattern: servers have few slots, a quarter of them is several times slower
+at any moment, and a response within the target time has ten times the utility
+of a late one. A request is sent where the probability of a response within the
+target time is highest. It waits at the node while a suitable server may still
+be released, and a late request leaves capacity for those that can meet their
+target time.
+
+Utility is a share of the utility of a response within the target time.
 """
 
 import dataclasses
@@ -12,189 +15,246 @@
 
 from wigeonrouter.placement import _estimate
 from wigeonrouter.placement import _health
+from wigeonrouter.placement import _queueing
 from wigeonrouter.placement import _records
-from wigeonrouter.placement import _waiting
-
-# Worth of a late answer, as a part of one in time.
-LATE_WORTH = 0.1
-_LEAST_SCALE_S = 0.0005
-# What using a farther server costs, as a part of an answer's worth.
-TIER_COST = {
-    _records.Tier.DOMAIN: 0.0,
-    _records.Tier.REGION: 0.01,
-    _records.Tier.REMOTE: 0.15,
+
+# Utility of a late response.
+LATE_UTILITY = 0.1
+_MIN_LOGISTIC_SCALE_S = 0.0005
+# Cost of a server in another failure domain or region, as utility.
+LOCALITY_COST = {
+    _records.Locality.DOMAIN: 0.0,
+    _records.Locality.REGION: 0.01,
+    _records.Locality.REMOTE: 0.15,
 }
-# Standard deviation of actual times, as a part of the estimate.
-_SPREAD = 0.3
+# Standard deviation of actual response times, relative to the estimate.
+_LATENCY_DEVIATION_RATIO = 0.3
 # Scale of a logistic distribution per standard deviation.
-_LOGISTIC_SCALE = math.sqrt(3) / math.pi
-# A place that comes free is expected after about this time.
-WAIT_S = 0.04
-# Waiting has to promise this much more worth than sending now.
-_WAIT_MARGIN = 0.2
-# Reports that are older are asked for again before a choice.
-FRESH_S = 0.04
-# Servers that are asked for their load before a choice, at a node that gets
-# requests of the service at this rate per second, and at others.
-_PROBES = 4
-_PROBES_IDLE = 1
-_BUSY_RATE = 2.0
-# Share of the servers that has to be allowed before failures are ignored.
-_MIN_ALLOWED_SHARE = 0.34
-# A server that is slower is not used for answers that come late anyhow: they
-# would hold its slots for several times as long.
-_SLOW = 2.0
-# Share of the slots in use from which on late answers do not get slow
-# servers, and from which on they do not get a server's last slot.
-_SLOW_PRESSURE = 0.3
-_FULL_PRESSURE = 0.6
-# Expected worth below which an answer probably comes late.
-_DOOMED_WORTH = 0.3
-# An estimate that differs by a second counts as much as this much worth.
-_WORTH_PER_S = 0.05
+_LOGISTIC_SCALE_PER_DEVIATION = math.sqrt(3) / math.pi
+# Expected time until a slot is released.
+EXPECTED_SLOT_WAIT_S = 0.04
+# A request waits only if that raises its expected utility by this much.
+_WAIT_UTILITY_MARGIN = 0.2
+# Servers with older load reports are probed again before a selection.
+FRESH_REPORT_S = 0.04
+# Number of servers that are probed before a selection: at a node with at least
+# this rate of requests of the service, and at other nodes.
+_BUSY_PROBES = 4
+_IDLE_PROBES = 1
+_BUSY_RATE_PER_S = 2.0
+# If a smaller share of the servers is available, ejections are ignored.
+_MIN_AVAILABLE_SHARE = 0.34
+# Slowdown above which a server is not used for responses that will be late in
+# any case, since they would hold its slots several times as long.
+_SLOW_SERVER_SLOWDOWN = 2.0
+# Share of the slots in use above which late requests get no slow servers, and
+# above which they do not get the last slots of a server.
+_SLOW_SERVER_UTILIZATION = 0.3
+_LAST_SLOT_UTILIZATION = 0.6
+# Expected utility below which a response will probably be late.
+_LIKELY_LATE_UTILITY = 0.3
+# Utility that one second of expected response time costs.
+_UTILITY_PER_S = 0.05
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Pick:
-    """The best server for a request now.
+    """The best server for a request at this time.
 
     Attributes:
-      view: ServerView, None where no server may be used.
-      worth: expected worth of sending there now, as a part of full worth.
-      wait: whether waiting at the node promises more.
+      view: ServerView, None if no server may be used.
+      expected_utility: expected utility of sending the request there now.
+      should_wait: whether waiting at the node has a higher expected utility.
     """
 
     view: _records.ServerView | None
-    worth: float = 0.0
-    wait: bool = False
+    expected_utility: float = 0.0
+    should_wait: bool = False
+
 
+def response_utility(*, seconds, request, now):
+    """Return the expected utility of a response after an expected time.
 
-def answer_worth(*, seconds, job, now):
-    """Return the expected worth of an answer after some seconds."""
-    if now + seconds > job.give_up:
+    The response time is taken as logistically distributed around the estimate.
+
+    Args:
+      seconds: expected seconds from now to the response.
+      request: PendingRequest.
+      now: seconds on the monotonic clock.
+    """
+    if now + seconds > request.deadline:
         return 0.0
-    slack = job.target - now
+    slack = request.target_time - now
     if slack <= 0:
-        return LATE_WORTH
-    scale = _LOGISTIC_SCALE * _SPREAD * seconds + _LEAST_SCALE_S
+        return LATE_UTILITY
+    scale = (
+        _LOGISTIC_SCALE_PER_DEVIATION * _LATENCY_DEVIATION_RATIO * seconds
+        + _MIN_LOGISTIC_SCALE_S
+    )
     in_time = 1.0 / (1.0 + math.exp(min(50.0, (seconds - slack) / scale)))
-    return LATE_WORTH + (1.0 - LATE_WORTH) * in_time
+    return LATE_UTILITY + (1.0 - LATE_UTILITY) * in_time
+
 
+def utility_of(view, *, request, service_time, mean_slowdown, now):
+    """Return the expected utility of sending a request to a server now.
 
-def worth_of(view, *, job, work, usual, now):
-    """Return the expected worth of sending a request to a server now."""
-    seconds = _estimate.expected_seconds(view, work=work, usual=usual, now=now)
-    worth = answer_worth(seconds=seconds, job=job, now=now)
-    success = 1.0 - _health.failure_now(view, now)
+    Accounts for the failure rate, the locality and the response time of the
+    server.
+    """
+    seconds = _estimate.expected_latency(
+        view, service_time=service_time, mean_slowdown=mean_slowdown, now=now
+    )
+    utility = response_utility(seconds=seconds, request=request, now=now)
+    success = 1.0 - _health.current_failure_rate(view, now)
     return (
-        worth * success
-        - TIER_COST[view.tier]
-        - _WORTH_PER_S * min(1.0, seconds)
+        utility * success
+        - LOCALITY_COST[view.locality]
+        - _UTILITY_PER_S * min(1.0, seconds)
     )
 
 
-def usable(views, *, job, now):
-    """Return the views that may get a request and have a place for it.
+def find_usable(views, *, request, now):
+    """Return the views that may get a request and have a free slot.
 
-    Servers that are left alone because they failed are taken all the same
-    where hardly any other is there.
+    Ejected servers are included if too few others are available.
     """
-    views = [view for view in views if view.instance not in job.excluded]
-    allowed = [view for view in views if _health.may_use(view, now)]
-    if len(allowed) < _MIN_ALLOWED_SHARE * len(views):
-        allowed = views
+    views = [view for view in views if view.instance not in request.excluded]
+    available = [view for view in views if _health.is_available(view, now)]
+    if len(available) < _MIN_AVAILABLE_SHARE * len(views):
+        available = views
     return [
         view
-        for view in allowed
+        for view in available
         if _estimate.expected_load(view, now) + 0.5 <= view.slots
     ]
 
 
 def probe_count(rate):
-    """Return how many servers to ask before a choice.
+    """Return how many servers to probe before a selection.
 
-    Load pattern: callers of a service go to its home, and now and then a
-    request comes to one of the many other nodes. That one knows nothing of
-    the servers and has no connections to them, which are paid for.
+    Load pattern: callers send the requests of a service to its home nodes, and
+    single requests reach one of the many other nodes. Such a node has no load
+    reports of the servers and no connections to them, and both probes and
+    connections have a cost.
 
     Args:
-      rate: requests of the service that come to this node in a second.
+      rate: requests of the service per second at this node.
     """
-    return _PROBES if rate >= _BUSY_RATE else _PROBES_IDLE
+    return _BUSY_PROBES if rate >= _BUSY_RATE_PER_S else _IDLE_PROBES
 
 
-def probe_candidates(views, *, job, work, usual, now, most):
-    """Return the servers to ask for their load before the choice.
+def probe_candidates(
+    views, *, request, service_time, mean_slowdown, now, max_servers
+):
+    """Return the servers to probe before a selection.
 
     Args:
       views: ServerViews of one service.
-      most: largest number of servers to consider.
+      request: PendingRequest.
+      service_time: undisturbed service time in seconds.
+      mean_slowdown: mean slowdown of all servers.
+      now: seconds on the monotonic clock.
+      max_servers: largest number of servers to consider.
     Returns:
-      A list of views, the most promising ones by what is known, without
-      those whose reports are fresh.
+      A list of views: those with the highest expected utility, without servers
+      whose load reports are fresh.
     """
     ranked = sorted(
-        usable(views, job=job, now=now),
-        key=lambda view: worth_of(
-            view, job=job, work=work, usual=usual, now=now
+        find_usable(views, request=request, now=now),
+        key=lambda view: utility_of(
+            view,
+            request=request,
+            service_time=service_time,
+            mean_slowdown=mean_slowdown,
+            now=now,
         ),
         reverse=True,
     )
     return [
         view
-        for view in ranked[:most]
-        if view.report is None or now - view.report.received > FRESH_S
+        for view in ranked[:max_servers]
+        if view.report is None or now - view.report.received > FRESH_REPORT_S
     ]
 
 
-def worth_of_waiting(*, job, work, usual, now, ahead, slots):
-    """Return the expected worth of waiting for a near server.
+def utility_of_waiting(
+    *, request, service_time, mean_slowdown, now, ahead, slots
+):
+    """Return the expected utility of waiting for a server in the own region.
 
     Args:
-      ahead: waiting requests that go first.
-      slots: slots of the near servers.
+      request: PendingRequest.
+      service_time: undisturbed service time in seconds.
+      mean_slowdown: mean slowdown of all servers.
+      now: seconds on the monotonic clock.
+      ahead: number of queued requests that are served first.
+      slots: slots of the servers in the own region.
     """
-    queue = _waiting.expected_wait(
-        ahead=ahead, work=work, slowness=usual, slots=slots
+    queue_wait = _queueing.expected_wait(
+        ahead=ahead,
+        service_time=service_time,
+        slowdown=mean_slowdown,
+        slots=slots,
+    )
+    return response_utility(
+        seconds=max(EXPECTED_SLOT_WAIT_S, queue_wait) + service_time,
+        request=request,
+        now=now,
     )
-    return answer_worth(seconds=max(WAIT_S, queue) + work, job=job, now=now)
 
 
-def choose(views, *, job, work, usual, now, pressure):
+def choose(views, *, request, service_time, mean_slowdown, now, utilization):
     """Return the Pick for a request.
 
-    An answer that probably comes late gets only what does not slow others
-    down, as far as they need it.
+    With rising utilization, a request that will probably be late is kept away
+    from slots that requests within their target time need.
 
     Args:
       views: ServerViews of one service that may be considered.
-      job: Job.
-      work: undisturbed seconds of work.
-      usual: average slowness of all servers.
+      request: PendingRequest.
+      service_time: undisturbed service time in seconds.
+      mean_slowdown: mean slowdown of all servers.
       now: seconds on the monotonic clock.
-      pressure: share of the slots in use, 1 where fresh requests wait.
+      utilization: share of the slots in use; 1 if requests are queued that can
+        still meet their target time.
     """
-    best, best_worth = None, float("-inf")
-    late = _waiting.is_late(job, work=work, now=now)
-    for view in usable(views, job=job, now=now):
-        worth = worth_of(view, job=job, work=work, usual=usual, now=now)
-        doomed = late or worth < _DOOMED_WORTH
-        if doomed and _disturbs(view, usual, now, pressure):
+    best, best_utility = None, float("-inf")
+    late = _queueing.is_late(request, service_time=service_time, now=now)
+    for view in find_usable(views, request=request, now=now):
+        utility = utility_of(
+            view,
+            request=request,
+            service_time=service_time,
+            mean_slowdown=mean_slowdown,
+            now=now,
+        )
+        likely_late = late or utility < _LIKELY_LATE_UTILITY
+        if likely_late and _harms_others(
+            view, mean_slowdown, now, utilization
+        ):
             continue
-        if worth > best_worth:
-            best, best_worth = view, worth
+        if utility > best_utility:
+            best, best_utility = view, utility
     if best is None:
-        return Pick(view=None, wait=True)
-    hoped = answer_worth(seconds=WAIT_S + work, job=job, now=now)
-    wait = not late and best_worth + _WAIT_MARGIN < hoped
-    return Pick(view=best, worth=best_worth, wait=wait)
+        return Pick(view=None, should_wait=True)
+    utility_after_wait = response_utility(
+        seconds=EXPECTED_SLOT_WAIT_S + service_time, request=request, now=now
+    )
+    wait = (
+        not late and best_utility + _WAIT_UTILITY_MARGIN < utility_after_wait
+    )
+    return Pick(view=best, expected_utility=best_utility, should_wait=wait)
 
 
-def _disturbs(view, usual, now, pressure):
-    if pressure > _FULL_PRESSURE:
+def _harms_others(view, mean_slowdown, now, utilization):
+    """Return whether a late request should not use a server."""
+    if utilization > _LAST_SLOT_UTILIZATION:
         load = _estimate.expected_load(view, now)
-        if _estimate.is_full(load, view.slots):
+        if _estimate.is_nearly_full(load, view.slots):
             return True
-    if pressure <= _SLOW_PRESSURE:
+    if utilization <= _SLOW_SERVER_UTILIZATION:
         return False
-    return _estimate.expected_slowness(view, now, usual) > _SLOW
+    return (
+        _estimate.expected_slowdown(view, now, mean_slowdown)
+        > _SLOW_SERVER_SLOWDOWN
+    )
--- a/wigeonrouter/placement/_estimate.py
+++ b/wigeonrouter/placement/_estimate.py
@@ -1,118 +1,141 @@
-"""Estimates when a backend server would answer.
+"""Estimates the response time of a backend server.
 
-Load pattern: neighbours on the machines of backend servers make a part of
-them several times slower, and this changes several times a second. A report
-tells the present speed; as it ages, the usual mixture of speeds is taken.
+Load pattern: noisy neighbours on the hosts of backend servers slow some of the
+servers down several times, and which servers are affected changes several
+times a second. A load report states the current slowdown of a server. As the
+report ages, the estimate moves to the mean slowdown of all servers.
+
+A slowdown is a factor: the current service time divided by the service time on
+an undisturbed server.
 """
 
 import math
 
-# The speed of a machine is drawn anew about this often.
-SPEED_LIFETIME_S = 0.3
-# Requests of other nodes in a report have ended after about this time.
-FOREIGN_LIFETIME_S = 0.3
-# A server that is nearly full works slower by this factor.
-FULL_SLOWNESS = 1.7
-# Share of the slots in use above which it counts as nearly full.
-FULL_SHARE = 0.8
-# Load of other nodes below this has probably ended.
-_FADED_LOAD = 0.2
-# A server that has just started works slower by this factor.
-COLD_SLOWNESS = 2.0
-# Speed of servers without a report, until reports say more.
-_INITIAL_SLOWNESS = 1.5
-_AVERAGE_WEIGHT = 0.05
-# Part of the target latency that work takes, until answers say more.
-_INITIAL_WORK_SHARE = 0.35
-
-
-class WorkTimes:
-    """Learns how long requests take on an undisturbed server."""
+# The slowdown of a host lasts about this long before it changes.
+SLOWDOWN_REPORT_LIFETIME_S = 0.3
+# Time constant for the decay of other nodes' requests in a report: they have
+# completed after about this time.
+FOREIGN_LOAD_DECAY_S = 0.3
+# Slowdown of a server that is nearly full.
+NEARLY_FULL_SLOWDOWN = 1.7
+# Share of the slots in use above which a server is nearly full.
+NEARLY_FULL_SHARE = 0.8
+# Decayed load of other nodes below this number of requests counts as none.
+_NEGLIGIBLE_FOREIGN_LOAD = 0.2
+# Slowdown of a server in its slow start.
+SLOW_START_SLOWDOWN = 2.0
+# Mean slowdown until reports have arrived.
+_INITIAL_SLOWDOWN = 1.5
+_EWMA_WEIGHT = 0.05
+# Service time of a route as a share of its target latency, until responses
+# have been measured.
+_INITIAL_SERVICE_TIME_SHARE = 0.35
+
+
+class ServiceTimes:
+    """Learns the service time of each route on an undisturbed server.
+
+    Also keeps the mean slowdown of the servers. Both are exponentially
+    weighted moving averages.
+    """
 
     def __init__(self):
-        self._work = {}
-        self._slowness = _INITIAL_SLOWNESS
+        self._service_times = {}
+        self._mean_slowdown = _INITIAL_SLOWDOWN
 
     @property
-    def slowness(self):
-        """Average slowness of the reports that came."""
-        return self._slowness
+    def mean_slowdown(self):
+        """Moving average of the slowdowns in load reports."""
+        return self._mean_slowdown
 
-    def work(self, route):
-        """Return the undisturbed seconds of work of a route's request."""
-        known = self._work.get(route.name)
+    def service_time(self, route):
+        """Return the undisturbed service time of a route in seconds."""
+        known = self._service_times.get(route.name)
         if known is None:
-            return route.target_latency * _INITIAL_WORK_SHARE
+            return route.target_latency * _INITIAL_SERVICE_TIME_SHARE
         return known
 
-    def learn_work(self, route, seconds):
-        """Add the undisturbed seconds that one request took."""
-        before = self.work(route)
-        self._work[route.name] = before + _AVERAGE_WEIGHT * (seconds - before)
+    def record_service_time(self, route, seconds):
+        """Add the undisturbed service time of one request in seconds."""
+        previous = self.service_time(route)
+        self._service_times[route.name] = previous + _EWMA_WEIGHT * (
+            seconds - previous
+        )
 
-    def learn_slowness(self, slowness):
-        """Add the slowness that a report stated."""
-        self._slowness += _AVERAGE_WEIGHT * (slowness - self._slowness)
+    def record_slowdown(self, slowdown):
+        """Add the slowdown of a load report."""
+        self._mean_slowdown += _EWMA_WEIGHT * (slowdown - self._mean_slowdown)
 
 
 def expected_load(view, now):
-    """Return the expected number of requests at a server, queued included."""
+    """Return the expected number of requests at a server, with queued ones.
+
+    Requests of other nodes come from the latest report and decay with its age.
+    """
     report = view.report
     if report is None:
         return float(view.in_flight)
-    foreign = max(0, report.running + report.queued - report.own)
+    foreign = max(0, report.running + report.queued - report.own_in_flight)
     age = max(0.0, now - report.received)
-    return view.in_flight + foreign * math.exp(-age / FOREIGN_LIFETIME_S)
+    return view.in_flight + foreign * math.exp(-age / FOREIGN_LOAD_DECAY_S)
 
 
-def expected_slowness(view, now, usual):
-    """Return how many times longer than usual work is expected to take.
+def expected_slowdown(view, now, mean_slowdown):
+    """Return the expected slowdown of a server.
 
     Args:
       view: ServerView.
       now: seconds on the monotonic clock.
-      usual: average slowness of all servers.
+      mean_slowdown: mean slowdown of all servers.
     """
-    slowness = usual
+    slowdown = mean_slowdown
     if view.report is not None:
         age = max(0.0, now - view.report.received)
-        known = max(0.0, 1.0 - age / SPEED_LIFETIME_S)
-        slowness = known * view.report.slowness + (1.0 - known) * usual
-    if now < view.warm_until:
-        slowness *= COLD_SLOWNESS
-    return slowness
+        report_weight = max(0.0, 1.0 - age / SLOWDOWN_REPORT_LIFETIME_S)
+        slowdown = (
+            report_weight * view.report.slowdown
+            + (1.0 - report_weight) * mean_slowdown
+        )
+    if now < view.slow_start_until:
+        slowdown *= SLOW_START_SLOWDOWN
+    return slowdown
 
 
-def is_full(load, slots):
-    """Return whether one more request makes a server work slower."""
-    return load + 1 > FULL_SHARE * slots + _FADED_LOAD
+def is_nearly_full(load, slots):
+    """Return whether one more request would slow a server down.
+
+    Args:
+      load: expected number of requests at the server.
+      slots: number of requests that it runs at once.
+    """
+    return load + 1 > NEARLY_FULL_SHARE * slots + _NEGLIGIBLE_FOREIGN_LOAD
 
 
-def expected_seconds(view, *, work, usual, now):
-    """Return the seconds until a request sent now is answered.
+def expected_latency(view, *, service_time, mean_slowdown, now):
+    """Return the expected seconds to the response if a request is sent now.
 
     Args:
       view: ServerView.
-      work: undisturbed seconds of work.
-      usual: average slowness of all servers.
+      service_time: undisturbed service time in seconds.
+      mean_slowdown: mean slowdown of all servers.
       now: seconds on the monotonic clock.
     """
     load = expected_load(view, now)
-    busy = work * expected_slowness(view, now, usual)
-    if is_full(load, view.slots):
-        busy *= FULL_SLOWNESS
+    busy_time = service_time * expected_slowdown(view, now, mean_slowdown)
+    if is_nearly_full(load, view.slots):
+        busy_time *= NEARLY_FULL_SLOWDOWN
     ahead = max(0.0, load + 1 - view.slots)
-    return view.round_trip + busy * (1.0 + ahead / view.slots)
+    return view.round_trip + busy_time * (1.0 + ahead / view.slots)
 
 
-def normal_work(*, latency, round_trip, slowness, full):
-    """Return the undisturbed seconds of work behind a latency.
+def undisturbed_service_time(*, latency, round_trip, slowdown, nearly_full):
+    """Return the undisturbed service time in seconds behind a latency.
 
     Args:
-      latency: seconds from sending to the answer.
-      round_trip: seconds of travel in it.
-      slowness: slowness of the server when the request was sent.
-      full: whether it was nearly full then.
+      latency: seconds from sending the request to the response.
+      round_trip: network round-trip time in seconds, part of the latency.
+      slowdown: expected slowdown of the server when the request was sent.
+      nearly_full: whether the server was nearly full then.
     """
-    factor = slowness * (FULL_SLOWNESS if full else 1.0)
+    factor = slowdown * (NEARLY_FULL_SLOWDOWN if nearly_full else 1.0)
     return max(0.001, latency - round_trip) / factor
--- a/wigeonrouter/placement/_estimate_test.py
+++ b/wigeonrouter/placement/_estimate_test.py
@@ -1,4 +1,4 @@
-"""Tests of the estimated time until an answer."""
+"""Tests of the estimated load and response time."""
 
 import dataclasses
 
@@ -7,20 +7,20 @@
 from wigeonrouter import placement
 
 
-def test_own_requests_in_a_report_count_once(make_view, now):
-    """Guards against free slots that look taken.
+def test_own_requests_in_a_report_are_not_counted_twice(make_view, now):
+    """Guards against free slots that look occupied.
 
-    Replays an answer whose report still counts the answered request.
+    A response carries a load report that still counts the request it answers.
     """
     view = make_view("a", running=1, in_flight=0)
     view = dataclasses.replace(
-        view, report=dataclasses.replace(view.report, own=1)
+        view, report=dataclasses.replace(view.report, own_in_flight=1)
     )
     assert placement.expected_load(view, now) == 0
 
 
-def test_requests_of_others_fade_with_age(make_view, now):
-    """Guards against load that was reported long ago."""
+def test_load_of_other_nodes_decays_with_report_age(make_view, now):
+    """Guards against counting load that was reported long ago."""
     fresh = placement.expected_load(make_view("a", running=2), now)
     old = placement.expected_load(make_view("a", running=2, age=2.0), now)
     assert fresh == 2 and old < 0.1
@@ -29,18 +29,23 @@
 @pytest.mark.parametrize(
     ("better", "worse"),
     [
-        ({}, {"slowness": 4.0}),
+        ({}, {"slowdown": 4.0}),
         ({}, {"running": 1}),
-        ({}, {"warm_until": 1000.0}),
+        ({}, {"slow_start_until": 1000.0}),
         ({}, {"round_trip": 0.2}),
     ],
     ids=["noise", "second slot", "cold", "far"],
 )
-def test_what_makes_a_server_slower(make_view, now, better, worse):
-    """Guards against an estimate that leaves a cause of slowness out."""
+def test_each_cause_of_slowness_raises_the_estimate(
+    make_view, now, better, worse
+):
+    """Guards against an estimate that ignores a cause of slow responses."""
     times = [
-        placement.expected_seconds(
-            make_view("a", **changes), work=0.1, usual=1.5, now=now
+        placement.expected_latency(
+            make_view("a", **changes),
+            service_time=0.1,
+            mean_slowdown=1.5,
+            now=now,
         )
         for changes in (better, worse)
     ]
--- a/wigeonrouter/placement/_health.py
+++ b/wigeonrouter/placement/_health.py
@@ -1,9 +1,9 @@
-"""What attempts and probes say of a backend server.
+"""Health of a backend server, from attempts and health checks.
 
 Load pattern: servers fail a part of their requests while their health check
-is good, or the reverse; some fall silent, some flap. Requests count more
-than health checks: a share of failures lowers a server's worth, fades
-within seconds, and so lets it be tried again with few requests.
+succeeds, or the reverse; some stop responding, some flap. Attempts have more
+weight than health checks. Failures lower the utility of a server; their effect
+decays within seconds, so that the server is tried again with a few requests.
 """
 
 import dataclasses
@@ -11,93 +11,128 @@
 import math
 
 _FAILURE_WEIGHT = 0.3
-# Time in which the memory of failures fades to a third.
-_FAILURE_FADING_S = 3.0
-# After this many failures in a row a server is left alone for a time, which
-# doubles; it would attract requests, since failing is fast.
-_FAILURES_TO_PAUSE = 2
-_FIRST_PAUSE_S = 0.5
+# Time constant of the exponential decay of the failure rate.
+_FAILURE_RATE_DECAY_S = 3.0
+# A server is ejected after this many consecutive failures, for a time that
+# doubles with each further one. A server that fails fast always has free slots
+# and would attract requests.
+_FAILURES_TO_EJECT = 2
+_FIRST_EJECTION_S = 0.5
 _FIRST_BACKOFF_S = 0.25
 _MAX_BACKOFF_S = 4.0
-# A health check that fails counts this much.
-_ILL_HEALTH_FAILURE = 0.3
+# Lower bound of the failure rate after a failed health check.
+_UNHEALTHY_FAILURE_RATE = 0.3
 _ROUND_TRIP_WEIGHT = 0.2
 
 
-class Ended(enum.Enum):
+class AttemptOutcome(enum.Enum):
     """How an attempt ended, as far as it concerns the server."""
 
-    ANSWERED = "answered"
+    SUCCEEDED = "answered"
     FAILED = "failed"
     # The server states that it did not run the request.
-    REFUSED = "refused"
-    # The connection broke or the answer was unusable.
-    LOST = "lost"
+    REJECTED = "refused"
+    # The connection broke or the response was invalid.
+    RESPONSE_LOST = "lost"
     UNREACHABLE = "unreachable"
     CANCELLED = "cancelled"
-    # There was less time left than the server needs.
-    LATE = "late"
+    # The time left was shorter than what the server needs.
+    TIMED_OUT = "late"
 
 
-def failure_now(view, now):
-    """Return the recent share of failures, faded by time."""
-    age = max(0.0, now - view.failure_at)
-    return view.failure * math.exp(-age / _FAILURE_FADING_S)
+def current_failure_rate(view, now):
+    """Return the recent share of failed attempts, decayed up to `now`."""
+    age = max(0.0, now - view.failure_rate_at)
+    return view.failure_rate * math.exp(-age / _FAILURE_RATE_DECAY_S)
 
 
-def may_use(view, now):
-    """Return whether a server may get work."""
-    return now >= view.retry_at
+def is_available(view, now):
+    """Return whether a server may get requests, that is, is not ejected."""
+    return now >= view.ejected_until
 
 
-def after_answer(view, *, ended, now):
-    """Return the view after an attempt."""
-    if ended in (Ended.CANCELLED, Ended.LATE):
+def after_attempt(view, *, outcome, now):
+    """Return the view after an attempt.
+
+    An attempt that was cancelled or timed out says nothing about the server.
+
+    Args:
+      view: ServerView.
+      outcome: AttemptOutcome.
+      now: seconds on the monotonic clock.
+    """
+    if outcome in (AttemptOutcome.CANCELLED, AttemptOutcome.TIMED_OUT):
         return view
-    if ended is Ended.UNREACHABLE:
-        return after_silence(view, now=now)
-    failed = ended in (Ended.FAILED, Ended.LOST)
-    before = failure_now(view, now)
-    if ended is Ended.REFUSED:
-        return dataclasses.replace(view, silent=0)
-    failures = view.failures + 1 if failed else 0
-    retry_at = view.retry_at
-    if failures >= _FAILURES_TO_PAUSE:
-        retry_at = now + min(
+    if outcome is AttemptOutcome.UNREACHABLE:
+        return after_no_response(view, now=now)
+    failed = outcome in (AttemptOutcome.FAILED, AttemptOutcome.RESPONSE_LOST)
+    before = current_failure_rate(view, now)
+    if outcome is AttemptOutcome.REJECTED:
+        return dataclasses.replace(view, consecutive_no_response=0)
+    consecutive_failures = view.consecutive_failures + 1 if failed else 0
+    ejected_until = view.ejected_until
+    if consecutive_failures >= _FAILURES_TO_EJECT:
+        ejected_until = now + min(
             _MAX_BACKOFF_S,
-            _FIRST_PAUSE_S * 2 ** min(8, failures - _FAILURES_TO_PAUSE),
+            _FIRST_EJECTION_S
+            * 2 ** min(8, consecutive_failures - _FAILURES_TO_EJECT),
         )
     return dataclasses.replace(
         view,
-        failure=before + _FAILURE_WEIGHT * (float(failed) - before),
-        failure_at=now,
-        failures=failures,
-        silent=0,
-        retry_at=retry_at,
+        failure_rate=before + _FAILURE_WEIGHT * (float(failed) - before),
+        failure_rate_at=now,
+        consecutive_failures=consecutive_failures,
+        consecutive_no_response=0,
+        ejected_until=ejected_until,
     )
 
 
 def after_probe(view, *, report, healthy, round_trip, now):
-    """Return the view after a health check that was answered."""
-    failure = failure_now(view, now)
+    """Return the view after a health check that got a response.
+
+    Ends an ejection for missing responses, but not one for failed attempts.
+
+    Args:
+      view: ServerView.
+      report: LoadReport of the response, None if it had none.
+      healthy: whether the server reported itself healthy.
+      round_trip: seconds from the probe to the response.
+      now: seconds on the monotonic clock.
+    """
+    failure_rate = current_failure_rate(view, now)
     if not healthy:
-        failure = max(failure, _ILL_HEALTH_FAILURE)
+        failure_rate = max(failure_rate, _UNHEALTHY_FAILURE_RATE)
     return dataclasses.replace(
         view,
         report=report or view.report,
-        failure=failure,
-        failure_at=now,
-        silent=0,
-        retry_at=view.retry_at if view.failures else float("-inf"),
+        failure_rate=failure_rate,
+        failure_rate_at=now,
+        consecutive_no_response=0,
+        ejected_until=view.ejected_until
+        if view.consecutive_failures
+        else float("-inf"),
         round_trip=view.round_trip
         + _ROUND_TRIP_WEIGHT * (round_trip - view.round_trip),
     )
 
 
-def after_silence(view, *, now):
-    """Return the view after no answer to a connection or a probe."""
-    silent = view.silent + 1
-    if silent < 2:
-        return dataclasses.replace(view, silent=silent)
-    backoff = min(_MAX_BACKOFF_S, _FIRST_BACKOFF_S * 2 ** min(8, silent - 2))
-    return dataclasses.replace(view, silent=silent, retry_at=now + backoff)
+def after_no_response(view, *, now):
+    """Return the view after a connection attempt or probe without a response.
+
+    The server is ejected from the second one in a row on, with exponential
+    backoff.
+    """
+    consecutive_no_response = view.consecutive_no_response + 1
+    if consecutive_no_response < 2:
+        return dataclasses.replace(
+            view, consecutive_no_response=consecutive_no_response
+        )
+    backoff = min(
+        _MAX_BACKOFF_S,
+        _FIRST_BACKOFF_S * 2 ** min(8, consecutive_no_response - 2),
+    )
+    return dataclasses.replace(
+        view,
+        consecutive_no_response=consecutive_no_response,
+        ejected_until=now + backoff,
+    )
--- /dev/null
+++ b/wigeonrouter/placement/_queueing_test.py
@@ -0,0 +1,113 @@
+"""Tests of the order of queued requests and of load shedding."""
+
+import random
+
+from wigeonrouter import placement
+
+SERVICE_TIME_S = 0.16
+
+
+def test_requests_within_target_go_before_late_ones(make_request, now):
+    """Guards against serving the oldest requests first after an outage.
+
+    When all callers return together, most of their requests are late and a few
+    are new.
+    """
+    queue = placement.RequestQueue()
+    for index in range(20):
+        queue.add(
+            f"late {index}",
+            make_request(target_time=-0.1 * index),
+            SERVICE_TIME_S,
+        )
+    queue.add("fresh", make_request(target_time=0.4), SERVICE_TIME_S)
+    assert queue.head(now)[0] == "fresh"
+    assert queue.count_late(now) == 20
+
+
+def test_requests_of_higher_priority_go_first(make_request, now):
+    """Guards against low priority requests delaying those of high priority."""
+    queue = placement.RequestQueue()
+    queue.add(
+        "usual", make_request(target_time=0.3, priority=2), SERVICE_TIME_S
+    )
+    queue.add(
+        "urgent", make_request(target_time=0.4, priority=0), SERVICE_TIME_S
+    )
+    assert queue.head(now) == ["urgent", "usual"]
+
+
+def test_late_requests_go_by_deadline(make_request, now):
+    """Guards against requests that expire while others could still wait."""
+    queue = placement.RequestQueue()
+    queue.add(
+        "long", make_request(target_time=-1, deadline=2.0), SERVICE_TIME_S
+    )
+    queue.add(
+        "short", make_request(target_time=-1, deadline=0.5), SERVICE_TIME_S
+    )
+    assert queue.head(now) == ["short", "long"]
+
+
+def test_removed_request_is_no_longer_queued(make_request, now):
+    """Guards against a slot for a request whose caller has disconnected."""
+    queue = placement.RequestQueue()
+    queue.add("gone", make_request(), SERVICE_TIME_S)
+    queue.remove("gone")
+    assert not queue.head(now) and len(queue) == 0
+
+
+def test_request_that_cannot_be_served_is_rejected_at_once(make_request, now):
+    """Guards against holding a request until its deadline has passed."""
+    request = make_request(deadline=1.0)
+    assert placement.should_reject(
+        request, wait=0.9, service_time=SERVICE_TIME_S, now=now
+    )
+    assert not placement.should_reject(
+        request, wait=0.5, service_time=SERVICE_TIME_S, now=now
+    )
+
+
+def test_late_requests_wait_only_in_a_queue_that_drains(make_request, now):
+    """Guards against a long queue of late requests that hardly drains."""
+    rate = placement.late_dispatch_rate()
+    request = make_request(target_time=-1, deadline=1.0)
+    slow = placement.expected_late_wait(ahead=5, rate=rate.per_second(now))
+    assert placement.should_reject_late(request, wait=slow, now=now)
+    for _ in range(40):
+        rate.record(now)
+    quick = placement.expected_late_wait(ahead=5, rate=rate.per_second(now))
+    assert not placement.should_reject_late(request, wait=quick, now=now)
+    assert rate.per_second(now + 5) < 2
+
+
+def test_request_that_just_became_late_is_kept_with_spare_capacity(
+    make_request,
+):
+    """Guards against rejecting late requests while slots are released.
+
+    When a region lost a fourth of its servers, requests that had waited 200 ms
+    for the rest became late one at a time. They were told to retry after one
+    or two seconds, and got their responses 1.5 s later than necessary.
+    """
+    request = make_request(target_time=0.1, deadline=1.7)
+    spare_rate = placement.spare_throughput(
+        slots=10, service_time=SERVICE_TIME_S, slowdown=1.5, arrival_rate=15.0
+    )
+    wait = placement.expected_late_wait(ahead=1, rate=spare_rate)
+    assert not placement.should_reject_late(request, wait=wait, now=100.0)
+
+
+def test_no_spare_throughput_under_overload():
+    """Guards against queueing late requests that new ones always overtake."""
+    assert not placement.spare_throughput(
+        slots=10, service_time=SERVICE_TIME_S, slowdown=1.5, arrival_rate=40.0
+    )
+
+
+def test_callers_rejected_together_get_different_retry_delays():
+    """Guards against a second burst of the same callers."""
+    rng = random.Random(1)
+    times = [placement.retry_after(wait=0.8, rng=rng) for _ in range(100)]
+    assert max(times) - min(times) > 0.6
+    assert min(times) >= 0.05
--- a/wigeonrouter/placement/_records.py
+++ b/wigeonrouter/placement/_records.py
@@ -1,11 +1,15 @@
-"""Records that the decisions are functions over. Times are in seconds."""
+"""Records that load balancing decisions are functions of. Times in seconds."""
 
 import dataclasses
 import enum
 
 
-class Tier(enum.IntEnum):
-    """How far away a backend server is."""
+class Locality(enum.IntEnum):
+    """How far away a backend server is from this node.
+
+    DOMAIN is the same failure domain, REGION another failure domain of the
+    same region, REMOTE another region.
+    """
 
     DOMAIN = 0
     REGION = 1
@@ -14,23 +18,23 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LoadReport:
-    """A backend server's statement of its load.
+    """The load that a backend server reported.
 
     Attributes:
-      running: requests that it was running, all callers together.
-      queued: requests that waited there.
+      running: requests that it was running, of all callers.
+      queued: requests that were queued there.
       slots: requests that it can run at once.
-      slowness: how many times longer than usual work takes there now.
+      slowdown: its service time divided by the undisturbed service time.
       received: time of arrival on the monotonic clock.
-      own: requests of this node among them.
+      own_in_flight: requests of this node among those running and queued.
     """
 
     running: int
     queued: int
     slots: int
-    slowness: float
+    slowdown: float
     received: float
-    own: int
+    own_in_flight: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -38,45 +42,46 @@
     """What a node knows of one backend server.
 
     Attributes:
-      in_flight: requests of this node that it has not answered.
-      report: latest LoadReport, None where none came.
-      warm_until: time at which it is no longer slow from its start.
-      failure: recent share of attempts that failed, from 0 to 1.
-      failure_at: time to which `failure` refers.
-      failures: attempts in a row that failed.
-      silent: probes and connections in a row that got no answer.
-      retry_at: it gets nothing before this time.
-      round_trip: time to it and back.
+      in_flight: requests of this node without a response so far.
+      report: latest LoadReport, None before the first one.
+      slow_start_until: end of its slow start.
+      failure_rate: recent share of attempts that failed, from 0 to 1.
+      failure_rate_at: time at which `failure_rate` was updated.
+      consecutive_failures: failed attempts since the last success.
+      consecutive_no_response: probes and connection attempts since the last
+        response.
+      ejected_until: time before which it gets no requests.
+      round_trip: network round-trip time.
     """
 
     instance: str
-    tier: Tier
+    locality: Locality
     slots: int
     in_flight: int = 0
     report: LoadReport | None = None
-    warm_until: float = float("-inf")
-    failure: float = 0.0
-    failure_at: float = 0.0
-    failures: int = 0
-    silent: int = 0
-    retry_at: float = float("-inf")
+    slow_start_until: float = float("-inf")
+    failure_rate: float = 0.0
+    failure_rate_at: float = 0.0
+    consecutive_failures: int = 0
+    consecutive_no_response: int = 0
+    ejected_until: float = float("-inf")
     round_trip: float = 0.001
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Job:
+class PendingRequest:
     """A request that needs a backend server.
 
     Attributes:
       arrived: time of its arrival at this node.
-      target: time by which an answer has its full worth.
-      give_up: time after which no answer is of use.
-      excluded: instances that have failed it.
+      target_time: time by which a response has its full utility.
+      deadline: time after which a response is of no use.
+      excluded: instances where an attempt of this request has failed.
     """
 
     priority: int
     idempotent: bool
     arrived: float
-    target: float
-    give_up: float
+    target_time: float
+    deadline: float
     excluded: frozenset[str] = frozenset()
--- a/wigeonrouter/placement/conftest.py
+++ b/wigeonrouter/placement/conftest.py
@@ -1,4 +1,4 @@
-"""Records that the tests of decisions share."""
+"""Shared fixtures of the tests of load balancing decisions."""
 
 import dataclasses
 
@@ -6,25 +6,25 @@
 
 from wigeonrouter import placement
 
-NOW = 100.0
+NOW_S = 100.0
 
 
 @pytest.fixture
 def make_view():
-    """Return a function that makes a near ServerView with a fresh report."""
+    """Return a function that makes a ServerView with a fresh load report."""
 
-    def make(instance, *, running=0, slowness=1.0, age=0.0, **changes):
+    def make(instance, *, running=0, slowdown=1.0, age=0.0, **changes):
         view = placement.ServerView(
             instance=instance,
-            tier=placement.Tier.DOMAIN,
+            locality=placement.Locality.DOMAIN,
             slots=2,
             report=placement.LoadReport(
                 running=running,
                 queued=0,
                 slots=2,
-                slowness=slowness,
-                received=NOW - age,
-                own=0,
+                slowdown=slowdown,
+                received=NOW_S - age,
+                own_in_flight=0,
             ),
         )
         return dataclasses.replace(view, **changes)
@@ -33,23 +33,23 @@
 
 
 @pytest.fixture
-def make_job():
-    """Return a function that makes a Job that arrived just now."""
+def make_request():
+    """Return a function that makes a PendingRequest that has just arrived."""
 
-    def make(*, target=0.4, give_up=2.0, **changes):
-        job = placement.Job(
+    def make(*, target_time=0.4, deadline=2.0, **changes):
+        request = placement.PendingRequest(
             priority=1,
             idempotent=True,
-            arrived=NOW,
-            target=NOW + target,
-            give_up=NOW + give_up,
+            arrived=NOW_S,
+            target_time=NOW_S + target_time,
+            deadline=NOW_S + deadline,
         )
-        return dataclasses.replace(job, **changes)
+        return dataclasses.replace(request, **changes)
 
     return make
 
 
 @pytest.fixture
 def now():
-    """Return the time of the decisions."""
-    return NOW
+    """Return the time at which decisions are made, in seconds."""
+    return NOW_S
