--- a/wigeonrouter/bench/_policy_run.py
+++ b/wigeonrouter/bench/_policy_run.py
@@ -212,7 +212,7 @@
             rng=random.Random(member.daemon_id),
             clock=loop.clock,
             call_later=loop.call_later,
-            share=share,
+            slot_share=share,
         )
         self.budget = limits.RetryBudget(ratio=service.retries.budget_ratio)
         self._advance()
@@ -256,7 +256,7 @@
             excluded=self._excluded,
         )
         result = self._daemon.dispatcher.submit(request, self._delivered)
-        if isinstance(result, dispatch.Ticket):
+        if isinstance(result, dispatch.WaitingRequest):
             self._ticket = result
             self._loop.call_later(
                 self._deadline - self._loop.now, self._expire, result
@@ -267,7 +267,7 @@
     def _expire(self, ticket):
         if self._ticket is ticket:
             self._ticket = None
-            self._daemon.dispatcher.withdraw(ticket)
+            self._daemon.dispatcher.cancel(ticket)
             self._end("refused")
 
     def _delivered(self, result):
--- a/wigeonrouter/dispatch/__init__.py
+++ b/wigeonrouter/dispatch/__init__.py
@@ -6,7 +6,7 @@
 DEFAULT_KIND = _router.DEFAULT_KIND
 Dispatcher = _dispatcher.Dispatcher
 RoutingTable = _router.RoutingTable
-Ticket = _dispatcher.Ticket
+WaitingRequest = _dispatcher.WaitingRequest
 
 build_routing_table = _router.build_routing_table
 find_kind = _router.find_kind
--- a/wigeonrouter/dispatch/_dispatcher.py
+++ b/wigeonrouter/dispatch/_dispatcher.py
@@ -14,14 +14,14 @@
 
 # Foreign load decays without any event of ours, so a queue is looked at
 # again after this time even when nothing was released.
-_REPUMP_INTERVAL_S = 0.005
+_REDISPATCH_INTERVAL_S = 0.005
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Ticket:
+class WaitingRequest:
     """Stands for a request that waits in the queue."""
 
-    handle: limits.Handle
+    entry: limits.QueueEntry
 
 
 class Dispatcher:
@@ -35,21 +35,21 @@
         rng,
         clock=time.monotonic,
         call_later=gevent.spawn_later,
-        share=(0, 1),
+        slot_share=(0, 1),
         announce=lambda address, leaving: None,
     ):
         self._place = place
         self._rng = rng
         self._clock = clock
         self._call_later = call_later
-        self._share = share
+        self._slot_share = slot_share
         self._announce = announce
         self._sequence = 0
-        self._memory = None
+        self._policy_state = None
         self._servers = _server_table.ServerTable(place=place)
-        self._foreign_slots = {}
-        self._hold = limits.HoldTime()
-        self._spilling = False
+        self._remote_slots = {}
+        self._hold_time = limits.HoldTime()
+        self._spilling_over = False
         self._timer = None
         self._service = service
         self._queue = limits.FairQueue(weights=service.limits.tenant_weights)
@@ -81,19 +81,19 @@
         self._service = service
         self._queue.set_weights(service.limits.tenant_weights)
         self._policy = selection.find_policy(service.routing.policy)
-        self._memory = None
+        self._policy_state = None
         self._servers.configure(servers=service.servers, now=self._clock())
-        self._foreign_slots = limits.count_foreign_slots(
+        self._remote_slots = limits.count_remote_slots(
             servers=service.servers, region=self._place.region
         )
-        self._pump()
+        self._dispatch_queued()
 
     def set_draining(self, addresses):
         """Take over the addresses that are known to be leaving."""
         self._servers.set_draining(
             addresses=frozenset(addresses), now=self._clock()
         )
-        self._pump()
+        self._dispatch_queued()
 
     def acquire(self, request):
         """Wait for a slot.
@@ -104,12 +104,12 @@
           core.Grant, which must be released, or core.Problem.
         """
         now = self._clock()
-        result = self._answer_at_once(request, now)
+        result = self._try_immediately(request, now)
         if result is not None:
             return result
         waiter = event.AsyncResult()
         result = self._enqueue(request, now, waiter.set)
-        if not isinstance(result, Ticket):
+        if not isinstance(result, WaitingRequest):
             return result
         try:
             return waiter.get(timeout=request.deadline - self._clock())
@@ -121,10 +121,10 @@
             return core.Problem(problem=core.problems.DEADLINE_PASSED)
         except BaseException:
             if waiter.ready() and isinstance(waiter.value, core.Grant):
-                self._return_unused(waiter.value)
+                self._release_unused(waiter.value)
             raise
         finally:
-            self.withdraw(result)
+            self.cancel(result)
 
     def submit(self, request, deliver):
         """Ask for a slot without waiting.
@@ -137,12 +137,12 @@
           core.Grant, core.Problem, or the Ticket of a waiting request.
         """
         now = self._clock()
-        result = self._answer_at_once(request, now)
+        result = self._try_immediately(request, now)
         if result is not None:
             return result
         return self._enqueue(request, now, deliver)
 
-    def _answer_at_once(self, request, now):
+    def _try_immediately(self, request, now):
         if request.deadline <= now:
             return core.Problem(problem=core.problems.DEADLINE_PASSED)
         if not self._servers.eligible:
@@ -153,42 +153,44 @@
 
     def _enqueue(self, request, now, deliver):
         wait = limits.expected_wait(
-            ahead=self._queue.ahead(tenant=request.tenant, key=now),
+            ahead=self._queue.count_ahead(tenant=request.tenant, key=now),
             slots=self._servers.local_slots,
-            hold=self._hold,
+            hold=self._hold_time,
         )
-        if self._spills(request, wait):
-            grant = self._choose(request, now, self._foreign_candidates())
+        if self._should_spill_over(request, wait):
+            grant = self._choose(request, now, self._remote_candidates())
             if grant is not None:
                 return grant
-        if not limits.can_finish(
-            remaining=request.deadline - now, wait=wait, hold=self._hold
+        if not limits.can_meet_deadline(
+            remaining=request.deadline - now, wait=wait, hold=self._hold_time
         ):
             return core.Problem(problem=core.problems.DEADLINE_TOO_SHORT)
         if len(self._queue) >= self._service.limits.max_queue:
-            displaced = self._queue.find_displaced(request.tenant)
-            if displaced is None:
+            evicted = self._queue.find_evictable(request.tenant)
+            if evicted is None:
                 return core.Problem(problem=core.problems.QUEUE_FULL)
-            self._refuse_waiting(displaced, core.problems.QUEUE_FULL)
-        handle = self._queue.push(
+            self._reject_queued(evicted, core.problems.QUEUE_FULL)
+        entry = self._queue.push(
             tenant=request.tenant,
             key=now,
             item=(request, deliver),
         )
-        self._schedule_pump()
-        return Ticket(handle=handle)
+        self._schedule_dispatch()
+        return WaitingRequest(entry=entry)
 
-    def withdraw(self, ticket):
+    def cancel(self, ticket):
         """Take a waiting request out of the queue; no effect afterwards."""
-        self._queue.remove(ticket.handle)
+        self._queue.remove(ticket.entry)
 
     def release(self, grant, attempt):
         """Give a slot back and learn from how the attempt ended."""
         if grant.charged:
-            self._queue.settle(grant.tenant, attempt.latency - grant.charged)
+            self._queue.adjust_charge(
+                grant.tenant, attempt.latency - grant.charged
+            )
         view = self._servers.find(grant.server.name)
         if view is None or view.server.address != grant.server.address:
-            self._pump()
+            self._dispatch_queued()
             return
         before = view
         view = core.evolve_view(view, in_flight=max(0, view.in_flight - 1))
@@ -196,26 +198,28 @@
         view = health.next_state(
             view=view,
             attempt=attempt,
-            group=self._servers.group,
+            group=self._servers.all_views,
             settings=self._service.health,
             now=self._clock(),
         )
         local = view.server.place.region == self._place.region
         answered = attempt.outcome is core.Outcome.OK
         if local and answered and not attempt.cancelled:
-            self._hold = limits.learn_hold_time(self._hold, attempt.latency)
-            limit = limits.next_limit(
+            self._hold_time = limits.update_hold_time(
+                self._hold_time, attempt.latency
+            )
+            limit = limits.next_concurrency_limit(
                 limit=view.limit,
                 slots=view.server.slots,
                 latency=view.latency,
-                typical=self._hold.mean,
+                mean_latency=self._hold_time.mean,
                 queued=len(self._queue) > 0,
             )
             if limit != view.limit:
                 view = core.evolve_view(view, limit=limit)
-        self._servers.put(view)
+        self._servers.update(view)
         self._announce_change(before, view)
-        self._pump()
+        self._dispatch_queued()
 
     def on_probe(self, *, name, probe):
         """Take over a health.ProbeResult."""
@@ -223,9 +227,9 @@
         if view is None:
             return
         after = health.after_probe(view=view, probe=probe, now=self._clock())
-        self._servers.put(after)
+        self._servers.update(after)
         self._announce_change(view, after)
-        self._pump()
+        self._dispatch_queued()
 
     def advance(self):
         """Let the states of servers follow the time."""
@@ -236,17 +240,17 @@
                 view=view, settings=self._service.health, now=now
             )
             if advanced is not view:
-                self._servers.put(advanced)
+                self._servers.update(advanced)
                 changed = True
         if changed:
-            self._pump()
+            self._dispatch_queued()
 
     def _announce_change(self, before, after):
         leaving = after.state is core.ServerState.DRAINING
         if leaving != (before.state is core.ServerState.DRAINING):
             self._announce(after.server.address, leaving)
 
-    def _return_unused(self, grant):
+    def _release_unused(self, grant):
         self.release(
             grant,
             core.AttemptResult(
@@ -254,79 +258,83 @@
             ),
         )
 
-    def _pump(self):
+    def _dispatch_queued(self):
         now = self._clock()
         while True:
-            handle = self._queue.peek()
-            if handle is None:
+            entry = self._queue.peek()
+            if entry is None:
                 return
-            request, deliver = handle.item
-            if not limits.can_finish(
-                remaining=request.deadline - now, wait=0.0, hold=self._hold
+            request, deliver = entry.item
+            if not limits.can_meet_deadline(
+                remaining=request.deadline - now,
+                wait=0.0,
+                hold=self._hold_time,
             ):
-                self._refuse_waiting(handle, core.problems.DEADLINE_TOO_SHORT)
+                self._reject_queued(entry, core.problems.DEADLINE_TOO_SHORT)
                 continue
             # Only what has waited for long is sent ahead to a full server;
             # the request of a quiet tenant soon gets a free slot.
-            long_wait = now - handle.rank[0] >= self._hold.mean
+            long_wait = now - entry.sort_key[0] >= self._hold_time.mean
             grant = self._choose(
                 request,
                 now,
                 self._candidates(),
-                waiting=len(self._queue) if long_wait else 0,
+                queue_length=len(self._queue) if long_wait else 0,
             )
             if grant is None:
-                self._schedule_pump()
+                self._schedule_dispatch()
                 return
             grant = dataclasses.replace(
-                grant, tenant=request.tenant, charged=self._hold.mean
+                grant, tenant=request.tenant, charged=self._hold_time.mean
             )
-            self._queue.take(handle, cost=grant.charged)
+            self._queue.dequeue(entry, cost=grant.charged)
             deliver(grant)
 
-    def _refuse_waiting(self, handle, problem):
-        self._queue.remove(handle)
-        handle.item[1](core.Problem(problem=problem))
+    def _reject_queued(self, entry, problem):
+        self._queue.remove(entry)
+        entry.item[1](core.Problem(problem=problem))
 
-    def _schedule_pump(self):
+    def _schedule_dispatch(self):
         if self._timer is None:
-            self._timer = self._call_later(_REPUMP_INTERVAL_S, self._run_timer)
+            self._timer = self._call_later(
+                _REDISPATCH_INTERVAL_S, self._run_timer
+            )
 
     def _run_timer(self):
         self._timer = None
-        self._pump()
+        self._dispatch_queued()
 
-    def _spills(self, request, wait):
-        if not self._servers.foreign or not self._servers.local:
+    def _should_spill_over(self, request, wait):
+        if not self._servers.remote or not self._servers.local:
             return False
         price = selection.region_price(request, self._service.routing) / 1000
-        self._spilling = limits.next_spilling(
-            spilling=self._spilling,
+        self._spilling_over = limits.should_spill_over(
+            spilling_over=self._spilling_over,
             expected_wait=wait,
             price=price,
         )
-        return self._spilling
+        return self._spilling_over
 
     def _candidates(self):
         if self._servers.local:
             return self._servers.local
-        return self._foreign_candidates()
+        return self._remote_candidates()
 
-    def _foreign_candidates(self):
-        if not self._foreign_slots:
+    def _remote_candidates(self):
+        if not self._remote_slots:
             return self._servers.eligible
         found = []
-        for region, views in self._servers.foreign.items():
+        for region, views in self._servers.remote.items():
             taken = sum([view.in_flight for view in views])
-            allowance = limits.foreign_allowance(
-                slots=self._foreign_slots[region],
-                regions=len(self._foreign_slots) + 1,
+            allowance = limits.remote_request_limit(
+                slots=self._remote_slots[region],
+                regions=len(self._remote_slots) + 1,
             )
             if taken < allowance:
                 found.extend(views)
         return tuple(found)
 
-    def _choose(self, request, now, candidates, waiting=0):
+    def _choose(self, request, now, candidates, queue_length=0):
         views = candidates
         if request.excluded:
             views = tuple(
@@ -349,16 +357,16 @@
                 now=now,
                 rng=self._rng,
                 sequence=self._sequence,
-                waiting=waiting,
-                memory=self._memory,
-                share=self._share,
+                queue_length=queue_length,
+                policy_state=self._policy_state,
+                slot_share=self._slot_share,
             ),
         )
         if not isinstance(choice, selection.Choice):
             return None
-        self._memory = choice.memory
+        self._policy_state = choice.policy_state
         view = self._servers.find(choice.server.name)
-        self._servers.put(
+        self._servers.update(
             core.evolve_view(view, in_flight=view.in_flight + 1, last_used=now)
         )
         return core.Grant(server=choice.server, granted=now)
--- a/wigeonrouter/dispatch/_dispatcher_test.py
+++ b/wigeonrouter/dispatch/_dispatcher_test.py
@@ -54,7 +54,7 @@
             call_later=self.loop.call_later,
         )
         self.grants = []
-        self.tickets = {}
+        self.waiting = {}
         self.delivered = set()
         self.number = 0
 
@@ -68,17 +68,17 @@
 
         def deliver(result):
             assert number not in self.delivered
-            assert number in self.tickets
+            assert number in self.waiting
             self.delivered.add(number)
-            del self.tickets[number]
+            del self.waiting[number]
             if isinstance(result, core.Grant):
                 self.grants.append(result)
 
         result = self.dispatcher.submit(
             _request(self.loop.now, tenant, remaining), deliver
         )
-        if isinstance(result, dispatch.Ticket):
-            self.tickets[number] = result
+        if isinstance(result, dispatch.WaitingRequest):
+            self.waiting[number] = result
         elif isinstance(result, core.Grant):
             self.grants.append(result)
 
@@ -111,11 +111,11 @@
             ),
         )
 
-    @stateful.precondition(lambda self: self.tickets)
+    @stateful.precondition(lambda self: self.waiting)
     @stateful.rule(data=strategies.data())
-    def withdraw(self, data):
-        number = data.draw(strategies.sampled_from(sorted(self.tickets)))
-        self.dispatcher.withdraw(self.tickets.pop(number))
+    def cancel(self, data):
+        number = data.draw(strategies.sampled_from(sorted(self.waiting)))
+        self.dispatcher.cancel(self.waiting.pop(number))
 
     @stateful.rule(seconds=strategies.sampled_from((0.001, 0.02, 0.5)))
     def wait(self, seconds):
@@ -137,7 +137,7 @@
 
     @stateful.invariant()
     def waiters_agree(self):
-        assert self.dispatcher.queue_length == len(self.tickets)
+        assert self.dispatcher.queue_length == len(self.waiting)
 
     def teardown(self):
         """Whoever still waits gets an answer once the slots are free."""
@@ -156,7 +156,7 @@
                 self.grants.pop(),
                 core.AttemptResult(outcome=core.Outcome.OK, latency=0.01),
             )
-        assert not self.tickets
+        assert not self.waiting
         assert all(v.in_flight == 0 for v in self.dispatcher.views)
 
 
--- a/wigeonrouter/dispatch/_router.py
+++ b/wigeonrouter/dispatch/_router.py
@@ -69,9 +69,9 @@
         length = _matched_length(kind.path_prefixes, path)
         if length is None:
             continue
-        rank = (length, not kind.idempotent)
-        if rank > best_rank:
-            best, best_rank = kind, rank
+        sort_key = (length, not kind.idempotent)
+        if sort_key > best_rank:
+            best, best_rank = kind, sort_key
     return best
 
 
--- a/wigeonrouter/dispatch/_server_table.py
+++ b/wigeonrouter/dispatch/_server_table.py
@@ -22,8 +22,8 @@
         self._positions = {}
         self._eligible = []
         self._local = []
-        self._foreign = {}
-        self._slots = 0
+        self._remote = {}
+        self._local_slots = 0
         self._has_cold = False
 
     @property
@@ -32,7 +32,7 @@
         return tuple(self._views.values())
 
     @property
-    def group(self):
+    def all_views(self):
         """All views without a copy; valid until the next change."""
         return self._views.values()
 
@@ -47,9 +47,9 @@
         return self._local
 
     @property
-    def foreign(self):
+    def remote(self):
         """Dict from each other region to its eligible views."""
-        return self._foreign
+        return self._remote
 
     @property
     def has_cold(self):
@@ -59,7 +59,7 @@
     @property
     def local_slots(self):
         """Number of requests that the local eligible servers may run."""
-        return self._slots
+        return self._local_slots
 
     def find(self, name):
         """Return the view of a server, or None."""
@@ -78,7 +78,7 @@
                 known = dataclasses.replace(known, server=server)
             views[server.name] = known
         self._views = views
-        self._sort()
+        self._rebuild_groups()
 
     def set_draining(self, *, addresses, now):
         """Take over the addresses that are known to be leaving."""
@@ -87,15 +87,15 @@
         for name, view in self._views.items():
             if str(view.server.address) in returned:
                 self._views[name] = health.after_return(view=view, now=now)
-        self._sort()
+        self._rebuild_groups()
 
-    def put(self, view):
+    def update(self, view):
         """Replace the view of a server."""
         name = view.server.name
         before = self._views[name]
         self._views[name] = view
         if before.state is not view.state:
-            self._sort()
+            self._rebuild_groups()
             return
         position = self._positions.get(name)
         if position is None:
@@ -104,12 +104,12 @@
         self._eligible[in_eligible] = view
         group[in_group] = view
         if group is self._local and before.limit != view.limit:
-            self._slots += selection.capacity(view)
-            self._slots -= selection.capacity(before)
+            self._local_slots += selection.concurrency_limit(view)
+            self._local_slots -= selection.concurrency_limit(before)
 
-    def _sort(self):
+    def _rebuild_groups(self):
         self._positions = {}
-        self._eligible, self._local, self._foreign = [], [], {}
+        self._eligible, self._local, self._remote = [], [], {}
         for name, view in self._views.items():
             if not health.may_get_work(view=view, draining=self._draining):
                 continue
@@ -117,11 +117,13 @@
             if region == self._place.region:
                 group = self._local
             else:
-                group = self._foreign.setdefault(region, [])
+                group = self._remote.setdefault(region, [])
             self._positions[name] = (len(self._eligible), group, len(group))
             self._eligible.append(view)
             group.append(view)
-        self._slots = sum(selection.capacity(view) for view in self._local)
+        self._local_slots = sum(
+            selection.concurrency_limit(view) for view in self._local
+        )
         self._has_cold = any(
             view.state is core.ServerState.COLD for view in self._eligible
         )
--- a/wigeonrouter/dispatch/_server_table_test.py
+++ b/wigeonrouter/dispatch/_server_table_test.py
@@ -60,10 +60,10 @@
         in_flight=strategies.integers(0, 2),
         limit=strategies.integers(1, 2),
     )
-    def put(self, number, state, in_flight, limit):
+    def update(self, number, state, in_flight, limit):
         view = self.table.find(f"s{number}")
         if view is not None:
-            self.table.put(
+            self.table.update(
                 dataclasses.replace(
                     view, state=state, in_flight=in_flight, limit=limit
                 )
@@ -77,11 +77,13 @@
             if health.may_get_work(view=view, draining=self.draining)
         ]
         local = [v for v in eligible if v.server.place.region == "r0"]
-        foreign = [v for v in eligible if v.server.place.region != "r0"]
+        remote = [v for v in eligible if v.server.place.region != "r0"]
         assert self.table.eligible == eligible
         assert self.table.local == local
-        assert self.table.foreign.get("r1", []) == foreign
-        assert self.table.local_slots == sum(map(selection.capacity, local))
+        assert self.table.remote.get("r1", []) == remote
+        assert self.table.local_slots == sum(
+            map(selection.concurrency_limit, local)
+        )
         assert self.table.has_cold == any(
             view.state is core.ServerState.COLD for view in eligible
         )
--- a/wigeonrouter/limits/__init__.py
+++ b/wigeonrouter/limits/__init__.py
@@ -7,17 +7,17 @@
 from wigeonrouter.limits import _spill_over
 
 FairQueue = _queue.FairQueue
-Handle = _queue.Handle
+QueueEntry = _queue.QueueEntry
 HoldTime = _admission.HoldTime
 RetryBudget = _retry_budget.RetryBudget
 
-allowance_after = _retry_budget.allowance_after
-allowance_below = _retry_budget.allowance_below
-can_finish = _admission.can_finish
-count_foreign_slots = _spill_over.count_foreign_slots
+retry_allowance_after_rejection = _retry_budget.retry_allowance_after_rejection
+downstream_retry_allowance = _retry_budget.downstream_retry_allowance
+can_meet_deadline = _admission.can_meet_deadline
+count_remote_slots = _spill_over.count_remote_slots
 expected_wait = _admission.expected_wait
-foreign_allowance = _spill_over.foreign_allowance
-learn_hold_time = _admission.learn_hold_time
-next_limit = _concurrency.next_limit
-next_spilling = _spill_over.next_spilling
-parse_allowance = _retry_budget.parse_allowance
+remote_request_limit = _spill_over.remote_request_limit
+update_hold_time = _admission.update_hold_time
+next_concurrency_limit = _concurrency.next_concurrency_limit
+should_spill_over = _spill_over.should_spill_over
+parse_retry_allowance = _retry_budget.parse_retry_allowance
--- a/wigeonrouter/limits/_admission.py
+++ b/wigeonrouter/limits/_admission.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 # A new value counts this much in the averages of HoldTime.
-_WEIGHT = 0.02
+_EWMA_WEIGHT = 0.02
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -19,12 +19,13 @@
     deviation: float = 0.005
 
 
-def learn_hold_time(hold, seconds):
+def update_hold_time(hold, seconds):
     """Return the HoldTime after one more answer."""
     error = seconds - hold.mean
     return HoldTime(
-        mean=hold.mean + _WEIGHT * error,
-        deviation=hold.deviation + _WEIGHT * (abs(error) - hold.deviation),
+        mean=hold.mean + _EWMA_WEIGHT * error,
+        deviation=hold.deviation
+        + _EWMA_WEIGHT * (abs(error) - hold.deviation),
     )
 
 
@@ -39,7 +40,7 @@
     return (ahead + 1) * hold.mean / max(1, slots)
 
 
-def can_finish(*, remaining, wait, hold):
+def can_meet_deadline(*, remaining, wait, hold):
     """Return whether a request may still be answered in time.
 
     Args:
--- a/wigeonrouter/limits/_concurrency.py
+++ b/wigeonrouter/limits/_concurrency.py
@@ -2,12 +2,12 @@
 
 # A server this much slower than the service's mean gets fewer requests at
 # once. Half of that is normal scatter of an average over five answers.
-SLOW_RATIO = 2.0
-_DECREASE = 0.5
-_INCREASE = 0.1
+SLOW_LATENCY_RATIO = 2.0
+_LIMIT_DECREASE = 0.5
+_LIMIT_INCREASE = 0.1
 
 
-def next_limit(*, limit, slots, latency, typical, queued):
+def next_concurrency_limit(*, limit, slots, latency, mean_latency, queued):
     """Return the bound on a server's requests after one more answer.
 
     Args:
@@ -19,6 +19,6 @@
     Returns:
       A float from 1 to slots.
     """
-    if not queued and latency > SLOW_RATIO * typical:
-        return max(1.0, limit - _DECREASE)
-    return min(float(slots), limit + _INCREASE)
+    if not queued and latency > SLOW_LATENCY_RATIO * mean_latency:
+        return max(1.0, limit - _LIMIT_DECREASE)
+    return min(float(slots), limit + _LIMIT_INCREASE)
--- a/wigeonrouter/limits/_queue.py
+++ b/wigeonrouter/limits/_queue.py
@@ -8,16 +8,16 @@
 _MAX_IDLE_TENANTS = 64
 
 
-class Handle:
+class QueueEntry:
     """A waiting item; its attributes belong to the queue."""
 
-    __slots__ = ("tenant", "rank", "item", "waiting")
+    __slots__ = ("tenant", "sort_key", "item", "queued")
 
-    def __init__(self, *, tenant, rank, item):
+    def __init__(self, *, tenant, sort_key, item):
         self.tenant = tenant
-        self.rank = rank
+        self.sort_key = sort_key
         self.item = item
-        self.waiting = True
+        self.queued = True
 
 
 class FairQueue:
@@ -31,10 +31,10 @@
 
     def __init__(self, *, weights=()):
         self._weights = dict(weights)
-        self._waiting = {}
-        self._virtual = {}
-        self._clock = 0.0
-        self._order = itertools.count()
+        self._queued = {}
+        self._virtual_times = {}
+        self._virtual_clock = 0.0
+        self._arrival_order = itertools.count()
         self._size = 0
 
     def __len__(self):
@@ -50,109 +50,111 @@
         Returns:
           A Handle for take() and remove().
         """
-        if tenant not in self._waiting:
-            self._waiting[tenant] = []
-            self._virtual[tenant] = max(
-                self._virtual.get(tenant, 0.0), self._clock
+        if tenant not in self._queued:
+            self._queued[tenant] = []
+            self._virtual_times[tenant] = max(
+                self._virtual_times.get(tenant, 0.0), self._virtual_clock
             )
-        handle = Handle(
-            tenant=tenant, rank=(key, next(self._order)), item=item
+        entry = QueueEntry(
+            tenant=tenant, sort_key=(key, next(self._arrival_order)), item=item
         )
-        bisect.insort(self._waiting[tenant], handle, key=_rank)
+        bisect.insort(self._queued[tenant], entry, key=_sort_key)
         self._size += 1
-        return handle
+        return entry
 
     def peek(self):
         """Return the handle that is next, or None."""
-        if not self._waiting:
+        if not self._queued:
             return None
-        tenant = min(self._waiting, key=self._virtual.__getitem__)
-        return self._waiting[tenant][0]
+        tenant = min(self._queued, key=self._virtual_times.__getitem__)
+        return self._queued[tenant][0]
 
-    def take(self, handle, *, cost=1.0):
+    def dequeue(self, entry, *, cost=1.0):
         """Remove a handle as served and charge its tenant."""
-        if not handle.waiting:
+        if not entry.queued:
             return
-        tenant = handle.tenant
-        self._clock = max(self._clock, self._virtual[tenant])
-        self._virtual[tenant] += cost / self._weight(tenant)
-        self.remove(handle)
+        tenant = entry.tenant
+        self._virtual_clock = max(
+            self._virtual_clock, self._virtual_times[tenant]
+        )
+        self._virtual_times[tenant] += cost / self._weight(tenant)
+        self.remove(entry)
 
-    def remove(self, handle):
+    def remove(self, entry):
         """Remove a handle that will not be served; no charge."""
-        if not handle.waiting:
+        if not entry.queued:
             return
-        handle.waiting = False
+        entry.queued = False
         self._size -= 1
-        waiting = self._waiting[handle.tenant]
-        del waiting[bisect.bisect_left(waiting, handle.rank, key=_rank)]
-        if not waiting:
-            del self._waiting[handle.tenant]
-            self._forget_idle()
-        if not self._waiting:
+        queued = self._queued[entry.tenant]
+        del queued[bisect.bisect_left(queued, entry.sort_key, key=_sort_key)]
+        if not queued:
+            del self._queued[entry.tenant]
+            self._drop_idle_tenants()
+        if not self._queued:
             # Nobody was kept waiting, so nobody is owed anything.
-            self._virtual.clear()
+            self._virtual_times.clear()
 
-    def settle(self, tenant, difference):
+    def adjust_charge(self, tenant, difference):
         """Correct a charge once the cost is known.
 
         Args:
           tenant: text.
           difference: actual cost less the cost given to take().
         """
-        if tenant in self._virtual:
-            self._virtual[tenant] += difference / self._weight(tenant)
+        if tenant in self._virtual_times:
+            self._virtual_times[tenant] += difference / self._weight(tenant)
 
-    def ahead(self, *, tenant, key):
+    def count_ahead(self, *, tenant, key):
         """Return how many items would be served before a new one.
 
         Later arrivals may still overtake it, so this is an estimate.
         """
-        own = self._waiting.get(tenant, ())
+        own = self._queued.get(tenant, ())
         before = bisect.bisect_right(own, key, key=_key)
         weight, count = self._weight(tenant), before
-        for other, waiting in self._waiting.items():
+        for other, queued in self._queued.items():
             if other != tenant:
                 share = (before + 1) * self._weight(other) / weight
-                count += min(len(waiting), int(share))
+                count += min(len(queued), int(share))
         return count
 
-    def find_displaced(self, tenant):
+    def find_evictable(self, tenant):
         """Return whose place a new item of a tenant may take, or None.
 
         In a full queue each tenant is entitled to a share by weight. A
         tenant below its share displaces the last item of the tenant that
         exceeds its own by most.
         """
-        weights = {t: self._weight(t) for t in (*self._waiting, tenant)}
+        weights = {t: self._weight(t) for t in (*self._queued, tenant)}
         unit = max(1, self._size) / sum(weights.values())
-        if len(self._waiting.get(tenant, ())) + 1 > unit * weights[tenant]:
+        if len(self._queued.get(tenant, ())) + 1 > unit * weights[tenant]:
             return None
         longest = max(
-            self._waiting,
-            key=lambda t: len(self._waiting[t]) / weights[t],
+            self._queued,
+            key=lambda t: len(self._queued[t]) / weights[t],
             default=None,
         )
         if longest is None or longest == tenant:
             return None
-        return self._waiting[longest][-1]
+        return self._queued[longest][-1]
 
     def _weight(self, tenant):
         return self._weights.get(tenant, DEFAULT_WEIGHT)
 
-    def _forget_idle(self):
-        if len(self._virtual) - len(self._waiting) <= _MAX_IDLE_TENANTS:
+    def _drop_idle_tenants(self):
+        if len(self._virtual_times) - len(self._queued) <= _MAX_IDLE_TENANTS:
             return
-        self._virtual = {
+        self._virtual_times = {
             tenant: virtual
-            for tenant, virtual in self._virtual.items()
-            if tenant in self._waiting or virtual > self._clock
+            for tenant, virtual in self._virtual_times.items()
+            if tenant in self._queued or virtual > self._virtual_clock
         }
 
 
-def _rank(handle):
-    return handle.rank
+def _sort_key(entry):
+    return entry.sort_key
 
 
-def _key(handle):
-    return handle.rank[0]
+def _key(entry):
+    return entry.sort_key[0]
--- a/wigeonrouter/limits/_queue_test.py
+++ b/wigeonrouter/limits/_queue_test.py
@@ -15,13 +15,13 @@
 
     def __init__(self):
         self.items = []
-        self.virtual = {}
-        self.clock = 0.0
+        self.virtual_times = {}
+        self.virtual_clock = 0.0
 
     def push(self, tenant, key, number):
         if all(item[0] != tenant for item in self.items):
-            self.virtual[tenant] = max(
-                self.virtual.get(tenant, 0.0), self.clock
+            self.virtual_times[tenant] = max(
+                self.virtual_times.get(tenant, 0.0), self.virtual_clock
             )
         self.items.append((tenant, key, number))
 
@@ -29,22 +29,24 @@
         """Return all items that may be next: ties between tenants."""
         if not self.items:
             return []
-        low = min(self.virtual[item[0]] for item in self.items)
-        tenants = {i[0] for i in self.items if self.virtual[i[0]] == low}
+        low = min(self.virtual_times[item[0]] for item in self.items)
+        tenants = {i[0] for i in self.items if self.virtual_times[i[0]] == low}
         return [
             min((i for i in self.items if i[0] == tenant), key=lambda i: i[1:])
             for tenant in tenants
         ]
 
-    def take(self, item, cost):
+    def dequeue(self, item, cost):
         self.items.remove(item)
-        self.clock = max(self.clock, self.virtual[item[0]])
-        self.virtual[item[0]] += cost / dict(_WEIGHTS)[item[0]]
+        self.virtual_clock = max(
+            self.virtual_clock, self.virtual_times[item[0]]
+        )
+        self.virtual_times[item[0]] += cost / dict(_WEIGHTS)[item[0]]
         self.forget()
 
     def forget(self):
         if not self.items:
-            self.virtual = {}
+            self.virtual_times = {}
 
 
 class FairQueueMachine(stateful.RuleBasedStateMachine):
@@ -54,7 +56,7 @@
         super().__init__()
         self.queue = limits.FairQueue(weights=_WEIGHTS)
         self.naive = _NaiveQueue()
-        self.handles = {}
+        self.entries = {}
         self.number = 0
 
     @stateful.rule(tenant=_TENANTS, key=strategies.integers(0, 5))
@@ -62,56 +64,56 @@
         self.number += 1
         item = (tenant, key, self.number)
         self.naive.push(*item)
-        self.handles[item] = self.queue.push(tenant=tenant, key=key, item=item)
+        self.entries[item] = self.queue.push(tenant=tenant, key=key, item=item)
 
     @stateful.rule(cost=strategies.sampled_from((0.5, 1.0, 4.0)))
-    def take(self, cost):
-        handle = self.queue.peek()
+    def dequeue(self, cost):
+        entry = self.queue.peek()
         expected = self.naive.next_items()
-        if handle is None:
+        if entry is None:
             assert not expected
             return
-        assert handle.item in expected
-        self.queue.take(handle, cost=cost)
-        self.naive.take(handle.item, cost)
-        del self.handles[handle.item]
+        assert entry.item in expected
+        self.queue.dequeue(entry, cost=cost)
+        self.naive.dequeue(entry.item, cost)
+        del self.entries[entry.item]
 
-    @stateful.precondition(lambda self: self.handles)
+    @stateful.precondition(lambda self: self.entries)
     @stateful.rule(data=strategies.data())
     def remove(self, data):
-        item = data.draw(strategies.sampled_from(sorted(self.handles)))
-        handle = self.handles.pop(item)
-        self.queue.remove(handle)
-        self.queue.remove(handle)
+        item = data.draw(strategies.sampled_from(sorted(self.entries)))
+        entry = self.entries.pop(item)
+        self.queue.remove(entry)
+        self.queue.remove(entry)
         self.naive.items.remove(item)
         self.naive.forget()
 
     @stateful.rule(tenant=_TENANTS)
     def displace(self, tenant):
         """A tenant above its share must not displace another one."""
-        handle = self.queue.find_displaced(tenant)
-        if handle is None:
+        entry = self.queue.find_evictable(tenant)
+        if entry is None:
             return
         weights = dict(_WEIGHTS)
         counts = {t: 0 for t in weights}
         for item in self.naive.items:
             counts[item[0]] += 1
-        assert handle.tenant != tenant
-        assert handle.item in self.handles
+        assert entry.tenant != tenant
+        assert entry.item in self.entries
         assert (
-            counts[handle.tenant] / weights[handle.tenant]
+            counts[entry.tenant] / weights[entry.tenant]
             >= counts[tenant] / weights[tenant]
         )
 
     @stateful.rule(tenant=_TENANTS, key=strategies.integers(0, 5))
-    def ahead(self, tenant, key):
+    def count_ahead(self, tenant, key):
         own = sum(i[0] == tenant and i[1] <= key for i in self.naive.items)
-        count = self.queue.ahead(tenant=tenant, key=key)
+        count = self.queue.count_ahead(tenant=tenant, key=key)
         assert own <= count <= len(self.naive.items)
 
     @stateful.invariant()
     def sizes_agree(self):
-        assert len(self.queue) == len(self.naive.items) == len(self.handles)
+        assert len(self.queue) == len(self.naive.items) == len(self.entries)
 
 
 FairQueueMachine.TestCase.settings = settings(
@@ -123,9 +125,9 @@
 def _served(queue, count):
     shares = {}
     for _ in range(count):
-        handle = queue.peek()
-        queue.take(handle)
-        shares[handle.tenant] = shares.get(handle.tenant, 0) + 1
+        entry = queue.peek()
+        queue.dequeue(entry)
+        shares[entry.tenant] = shares.get(entry.tenant, 0) + 1
     return shares
 
 
@@ -154,11 +156,11 @@
         queue.push(tenant="fast", key=number, item=None)
     served = {"slow": 0, "fast": 0}
     for _ in range(88):
-        handle = queue.peek()
-        queue.take(handle, cost=1.0)
-        served[handle.tenant] += 1
-        if handle.tenant == "slow":
-            queue.settle("slow", 9.0)
+        entry = queue.peek()
+        queue.dequeue(entry, cost=1.0)
+        served[entry.tenant] += 1
+        if entry.tenant == "slow":
+            queue.adjust_charge("slow", 9.0)
     assert 70 <= served["fast"] and served["slow"] <= 9
 
 
@@ -166,6 +168,6 @@
     """Tenant names come from callers, so their number has no bound."""
     queue = limits.FairQueue()
     for number in range(5000):
-        handle = queue.push(tenant=f"t{number}", key=number, item=None)
-        queue.take(handle)
-    assert len(queue._virtual) < 200
+        entry = queue.push(tenant=f"t{number}", key=number, item=None)
+        queue.dequeue(entry)
+    assert len(queue._virtual_times) < 200
--- a/wigeonrouter/limits/_retry_budget.py
+++ b/wigeonrouter/limits/_retry_budget.py
@@ -31,7 +31,7 @@
         return True
 
 
-def parse_allowance(*, text, max_attempts):
+def parse_retry_allowance(*, text, max_attempts):
     """Return how many retries a request may still cause.
 
     Args:
@@ -48,7 +48,7 @@
     return min(most, int(text[:6]))
 
 
-def allowance_below(*, allowance, attempt):
+def downstream_retry_allowance(*, allowance, attempt):
     """Return what an attempt gives down, a whole number.
 
     Args:
@@ -58,7 +58,7 @@
     return allowance if attempt == 1 else 0
 
 
-def allowance_after(*, allowance, text):
+def retry_allowance_after_rejection(*, allowance, text):
     """Return the retries left after an attempt was refused.
 
     Args:
--- a/wigeonrouter/limits/_retry_budget_test.py
+++ b/wigeonrouter/limits/_retry_budget_test.py
@@ -22,7 +22,7 @@
 )
 def test_a_caller_cannot_raise_its_allowance(text, max_attempts, expected):
     assert (
-        limits.parse_allowance(text=text, max_attempts=max_attempts)
+        limits.parse_retry_allowance(text=text, max_attempts=max_attempts)
         == expected
     )
 
@@ -32,14 +32,16 @@
     if depth == 0:
         count[0] += 1
         return "0"
-    allowance = limits.parse_allowance(text=text, max_attempts=3)
+    allowance = limits.parse_retry_allowance(text=text, max_attempts=3)
     attempt = 0
     while True:
         attempt += 1
-        below = limits.allowance_below(allowance=allowance, attempt=attempt)
+        below = limits.downstream_retry_allowance(
+            allowance=allowance, attempt=attempt
+        )
         answer = _call(depth - 1, str(below), relays, count)
         if relays and depth > 1:
-            allowance = limits.allowance_after(
+            allowance = limits.retry_allowance_after_rejection(
                 allowance=allowance, text=answer
             )
         if allowance <= 0:
--- a/wigeonrouter/limits/_rules_test.py
+++ b/wigeonrouter/limits/_rules_test.py
@@ -24,7 +24,7 @@
     ahead, slots, remaining, admitted
 ):
     wait = limits.expected_wait(ahead=ahead, slots=slots, hold=_HOLD)
-    assert admitted == limits.can_finish(
+    assert admitted == limits.can_meet_deadline(
         remaining=remaining, wait=wait, hold=_HOLD
     )
 
@@ -45,20 +45,20 @@
     rng = random.Random(3)
     hold = limits.HoldTime()
     for _ in range(2000):
-        hold = limits.learn_hold_time(hold, rng.uniform(0.02, 0.04))
+        hold = limits.update_hold_time(hold, rng.uniform(0.02, 0.04))
     assert hold.mean == pytest.approx(0.03, rel=0.1)
     assert hold.deviation == pytest.approx(0.005, rel=0.2)
 
 
 def test_spill_over_does_not_flap_between_the_thresholds():
-    spilling, changes = False, 0
+    spilling_over, changes = False, 0
     for step in range(200):
         wait = 0.030 + 0.009 * (-1) ** step
-        after = limits.next_spilling(
-            spilling=spilling, expected_wait=wait, price=0.040
+        after = limits.should_spill_over(
+            spilling_over=spilling_over, expected_wait=wait, price=0.040
         )
-        changes += after != spilling
-        spilling = after
+        changes += after != spilling_over
+        spilling_over = after
     assert changes == 0
 
 
@@ -71,12 +71,12 @@
     ],
 )
 def test_spill_over_starts_at_the_price_and_stops_at_half(waits, expected):
-    spilling, seen = False, []
+    spilling_over, seen = False, []
     for wait in waits:
-        spilling = limits.next_spilling(
-            spilling=spilling, expected_wait=wait, price=0.040
+        spilling_over = limits.should_spill_over(
+            spilling_over=spilling_over, expected_wait=wait, price=0.040
         )
-        seen.append(spilling)
+        seen.append(spilling_over)
     assert tuple(seen) == expected
 
 
@@ -86,7 +86,7 @@
 )
 def test_strangers_together_stay_within_their_share(slots, regions, expected):
     """Else one region that fails takes the next one with it."""
-    allowed = limits.foreign_allowance(slots=slots, regions=regions)
+    allowed = limits.remote_request_limit(slots=slots, regions=regions)
     assert allowed == expected
     assert allowed == 1 or allowed * (regions - 1) <= 0.3 * slots
 
@@ -105,8 +105,12 @@
 ):
     limit = 2.0
     for _ in range(answers):
-        limit = limits.next_limit(
-            limit=limit, slots=2, latency=latency, typical=0.01, queued=queued
+        limit = limits.next_concurrency_limit(
+            limit=limit,
+            slots=2,
+            latency=latency,
+            mean_latency=0.01,
+            queued=queued,
         )
     assert limit == expected
 
@@ -114,7 +118,7 @@
 def test_the_bound_returns_to_all_slots():
     limit = 1.0
     for _ in range(10):
-        limit = limits.next_limit(
-            limit=limit, slots=2, latency=0.01, typical=0.01, queued=False
+        limit = limits.next_concurrency_limit(
+            limit=limit, slots=2, latency=0.01, mean_latency=0.01, queued=False
         )
     assert limit == pytest.approx(2.0)
--- a/wigeonrouter/limits/_spill_over.py
+++ b/wigeonrouter/limits/_spill_over.py
@@ -2,13 +2,13 @@
 
 # Spill-over that has started goes on until the wait is this part of the
 # price. With one threshold for both it would flap at each burst.
-STOP_RATIO = 0.5
+STOP_PRICE_RATIO = 0.5
 # Largest part of another region's slots that strangers may take together.
 # A region that fails must not take the next one with it.
-MAX_FOREIGN_RATIO = 0.3
+MAX_REMOTE_SLOT_RATIO = 0.3
 
 
-def next_spilling(*, spilling, expected_wait, price):
+def should_spill_over(*, spilling_over, expected_wait, price):
     """Return whether a request may be sent to another region.
 
     Args:
@@ -18,12 +18,12 @@
     Returns:
       True or False.
     """
-    if spilling:
-        return expected_wait > price * STOP_RATIO
+    if spilling_over:
+        return expected_wait > price * STOP_PRICE_RATIO
     return expected_wait > price
 
 
-def foreign_allowance(*, slots, regions):
+def remote_request_limit(*, slots, regions):
     """Return how many requests one region may have in another.
 
     Requests on their way count as well. Counting slots in use alone gives
@@ -37,10 +37,10 @@
     Returns:
       A whole number, at least 1.
     """
-    return max(1, int(slots * MAX_FOREIGN_RATIO / max(1, regions - 1)))
+    return max(1, int(slots * MAX_REMOTE_SLOT_RATIO / max(1, regions - 1)))
 
 
-def count_foreign_slots(*, servers, region):
+def count_remote_slots(*, servers, region):
     """Return a dict from each other region to its number of slots.
 
     It is empty where the region has no server: then there is no spill-over,
--- a/wigeonrouter/placement/_choice.py
+++ b/wigeonrouter/placement/_choice.py
@@ -98,14 +98,14 @@
 def utility_of(view, *, request, service_time, mean_slowdown, now):
     """Return the expected utility of sending a request to a server now.
 
-    Accounts for the failure rate, the locality and the response time of the
+    Accounts for the failure ratio, the locality and the response time of the
     server.
     """
     seconds = _estimate.expected_latency(
         view, service_time=service_time, mean_slowdown=mean_slowdown, now=now
     )
     utility = response_utility(seconds=seconds, request=request, now=now)
-    success = 1.0 - _health.current_failure_rate(view, now)
+    success = 1.0 - _health.current_failure_ratio(view, now)
     return (
         utility * success
         - LOCALITY_COST[view.locality]
--- a/wigeonrouter/placement/_health.py
+++ b/wigeonrouter/placement/_health.py
@@ -11,8 +11,8 @@
 import math
 
 _FAILURE_WEIGHT = 0.3
-# Time constant of the exponential decay of the failure rate.
-_FAILURE_RATE_DECAY_S = 3.0
+# Time constant of the exponential decay of the failure ratio.
+_FAILURE_RATIO_DECAY_S = 3.0
 # A server is ejected after this many consecutive failures, for a time that
 # doubles with each further one. A server that fails fast always has free slots
 # and would attract requests.
@@ -20,8 +20,8 @@
 _FIRST_EJECTION_S = 0.5
 _FIRST_BACKOFF_S = 0.25
 _MAX_BACKOFF_S = 4.0
-# Lower bound of the failure rate after a failed health check.
-_UNHEALTHY_FAILURE_RATE = 0.3
+# Lower bound of the failure ratio after a failed health check.
+_UNHEALTHY_FAILURE_RATIO = 0.3
 _ROUND_TRIP_WEIGHT = 0.2
 
 
@@ -40,10 +40,10 @@
     TIMED_OUT = "late"
 
 
-def current_failure_rate(view, now):
+def current_failure_ratio(view, now):
     """Return the recent share of failed attempts, decayed up to `now`."""
-    age = max(0.0, now - view.failure_rate_at)
-    return view.failure_rate * math.exp(-age / _FAILURE_RATE_DECAY_S)
+    age = max(0.0, now - view.failure_ratio_at)
+    return view.failure_ratio * math.exp(-age / _FAILURE_RATIO_DECAY_S)
 
 
 def is_available(view, now):
@@ -66,7 +66,7 @@
     if outcome is AttemptOutcome.UNREACHABLE:
         return after_no_response(view, now=now)
     failed = outcome in (AttemptOutcome.FAILED, AttemptOutcome.RESPONSE_LOST)
-    before = current_failure_rate(view, now)
+    before = current_failure_ratio(view, now)
     if outcome is AttemptOutcome.REJECTED:
         return dataclasses.replace(view, consecutive_no_response=0)
     consecutive_failures = view.consecutive_failures + 1 if failed else 0
@@ -79,8 +79,8 @@
         )
     return dataclasses.replace(
         view,
-        failure_rate=before + _FAILURE_WEIGHT * (float(failed) - before),
-        failure_rate_at=now,
+        failure_ratio=before + _FAILURE_WEIGHT * (float(failed) - before),
+        failure_ratio_at=now,
         consecutive_failures=consecutive_failures,
         consecutive_no_response=0,
         ejected_until=ejected_until,
@@ -99,14 +99,14 @@
       round_trip: seconds from the probe to the response.
       now: seconds on the monotonic clock.
     """
-    failure_rate = current_failure_rate(view, now)
+    failure_ratio = current_failure_ratio(view, now)
     if not healthy:
-        failure_rate = max(failure_rate, _UNHEALTHY_FAILURE_RATE)
+        failure_ratio = max(failure_ratio, _UNHEALTHY_FAILURE_RATIO)
     return dataclasses.replace(
         view,
         report=report or view.report,
-        failure_rate=failure_rate,
-        failure_rate_at=now,
+        failure_ratio=failure_ratio,
+        failure_ratio_at=now,
         consecutive_no_response=0,
         ejected_until=view.ejected_until
         if view.consecutive_failures
--- a/wigeonrouter/placement/_health_test.py
+++ b/wigeonrouter/placement/_health_test.py
@@ -55,7 +55,7 @@
         make_view("a"), report=None, healthy=False, round_trip=0.001, now=now
     )
     assert placement.is_available(view, now)
-    assert view.failure_rate > 0
+    assert view.failure_ratio > 0
 
 
 @pytest.mark.parametrize("outcome", [Outcome.CANCELLED, Outcome.TIMED_OUT])
--- a/wigeonrouter/placement/_records.py
+++ b/wigeonrouter/placement/_records.py
@@ -46,7 +46,7 @@
       report: latest LoadReport, None before the first one.
       slow_start_until: end of its slow start.
       failure_rate: recent share of attempts that failed, from 0 to 1.
-      failure_rate_at: time at which `failure_rate` was updated.
+      failure_rate_at: time at which `failure_ratio` was updated.
       consecutive_failures: failed attempts since the last success.
       consecutive_no_response: probes and connection attempts since the last
         response.
@@ -60,8 +60,8 @@
     in_flight: int = 0
     report: LoadReport | None = None
     slow_start_until: float = float("-inf")
-    failure_rate: float = 0.0
-    failure_rate_at: float = 0.0
+    failure_ratio: float = 0.0
+    failure_ratio_at: float = 0.0
     consecutive_failures: int = 0
     consecutive_no_response: int = 0
     ejected_until: float = float("-inf")
--- a/wigeonrouter/request_path/_attempt.py
+++ b/wigeonrouter/request_path/_attempt.py
@@ -44,9 +44,11 @@
                 outcome = outcome_of(answer)
                 if outcome is core.Outcome.NOT_RUN:
                     refused = True
-                    forwarding.allowance = limits.allowance_after(
-                        allowance=forwarding.allowance,
-                        text=answer.header(b"x-retry-budget"),
+                    forwarding.allowance = (
+                        limits.retry_allowance_after_rejection(
+                            allowance=forwarding.allowance,
+                            text=answer.header(b"x-retry-budget"),
+                        )
                     )
                     answer = core.Problem(
                         problem=core.problems.REFUSED_BY_SERVER
@@ -107,7 +109,7 @@
             data = _render.render_request(
                 request=forwarding.request,
                 timeout_ms=max(1, int(remaining * 1000)),
-                retry_budget=limits.allowance_below(
+                retry_budget=limits.downstream_retry_allowance(
                     allowance=forwarding.allowance,
                     attempt=forwarding.attempts,
                 ),
--- a/wigeonrouter/request_path/_forwarder.py
+++ b/wigeonrouter/request_path/_forwarder.py
@@ -67,7 +67,7 @@
         """
         retries = forwarding.dispatcher.service.retries
         # A hedge is a further attempt beyond max_attempts.
-        forwarding.allowance = limits.parse_allowance(
+        forwarding.allowance = limits.parse_retry_allowance(
             text=forwarding.request.header(b"x-retry-budget"),
             max_attempts=retries.max_attempts + (retries.hedge_quantile > 0),
         )
--- a/wigeonrouter/selection/__init__.py
+++ b/wigeonrouter/selection/__init__.py
@@ -9,10 +9,10 @@
 PolicyContext = _registry.PolicyContext
 Wait = _registry.Wait
 
-capacity = _load.capacity
+concurrency_limit = _load.concurrency_limit
 find_policy = _registry.find_policy
-occupied = _load.occupied
-place_price = _load.place_price
+expected_busy_slots = _load.expected_busy_slots
+locality_price = _load.locality_price
 policy = _registry.policy
 policy_names = _registry.policy_names
 region_price = _load.region_price
--- a/wigeonrouter/selection/_comparison.py
+++ b/wigeonrouter/selection/_comparison.py
@@ -33,24 +33,24 @@
 @_registry.policy("least_in_flight")
 def choose_least_in_flight(*, views, request, context):
     """Choose the server with the fewest requests of this daemon."""
-    return _lowest(views, context, lambda view: view.in_flight)
+    return _choose_lowest(views, context, lambda view: view.in_flight)
 
 
 @_registry.policy("two_choices")
 def choose_two_choices(*, views, request, context):
     """Draw two servers and choose by this daemon's requests."""
-    return _lowest(
-        _draw(views, 2, context), context, lambda view: view.in_flight
+    return _choose_lowest(
+        _sample(views, 2, context), context, lambda view: view.in_flight
     )
 
 
 @_registry.policy("two_choices_reported")
 def choose_two_choices_reported(*, views, request, context):
     """Draw two servers and choose by this daemon's requests and reports."""
-    return _lowest(
-        _draw(views, 2, context),
+    return _choose_lowest(
+        _sample(views, 2, context),
         context,
-        lambda view: _load.occupied(view, context.now),
+        lambda view: _load.expected_busy_slots(view, context.now),
     )
 
 
@@ -61,7 +61,7 @@
     A server is hot when its requests in flight reach a quantile of those of
     all servers. A load report stands for a probe and is used a few times.
     """
-    uses = context.memory or {}
+    uses = context.policy_state or {}
     pool = [
         view
         for view in views
@@ -73,23 +73,23 @@
         server = context.rng.choice(views).server
     else:
         loads = {
-            view.server.name: _load.occupied(view, context.now)
+            view.server.name: _load.expected_busy_slots(view, context.now)
             for view in pool
         }
         ranked = sorted(loads.values())
         limit = ranked[math.ceil(_COLD_QUANTILE * (len(ranked) - 1))]
         cold = [view for view in pool if loads[view.server.name] < limit]
         if cold:
-            server = _lowest(cold, context, lambda v: v.latency).server
+            server = _choose_lowest(cold, context, lambda v: v.latency).server
         else:
-            server = _lowest(
+            server = _choose_lowest(
                 pool, context, lambda v: loads[v.server.name]
             ).server
     chosen = next(v for v in views if v.server.name == server.name)
     received = chosen.report.received if chosen.report else None
     count = _report_uses(uses, chosen) + 1
     return _registry.Choice(
-        server=server, memory={**uses, server.name: (received, count)}
+        server=server, policy_state={**uses, server.name: (received, count)}
     )
 
 
@@ -120,7 +120,7 @@
     Slots are dealt to the daemons of the region in turn. A daemon that gets
     none falls back to a random server.
     """
-    index, count = context.share
+    index, count = context.slot_share
     number, owns, best = 0, False, None
     for view in views:
         share = 0
@@ -146,16 +146,20 @@
     The load is the count of current communications, min-max normalised
     over the servers. Only then the least loaded server is taken.
     """
-    loads = {v.server.name: _load.occupied(v, context.now) for v in views}
+    loads = {
+        v.server.name: _load.expected_busy_slots(v, context.now) for v in views
+    }
     low, high = min(loads.values()), max(loads.values())
-    current = context.memory
+    current = context.policy_state
     if current in loads and high > low:
         status = (loads[current] - low) / (high - low)
         if status <= _STATUS_THRESHOLD:
             server = next(v.server for v in views if v.server.name == current)
-            return _registry.Choice(server=server, memory=current)
-    choice = _lowest(views, context, lambda v: loads[v.server.name])
-    return _registry.Choice(server=choice.server, memory=choice.server.name)
+            return _registry.Choice(server=server, policy_state=current)
+    choice = _choose_lowest(views, context, lambda v: loads[v.server.name])
+    return _registry.Choice(
+        server=choice.server, policy_state=choice.server.name
+    )
 
 
 def _report_uses(uses, view):
@@ -164,12 +168,12 @@
     return count if received == known else 0
 
 
-def _draw(views, count, context):
+def _sample(views, count, context):
     if len(views) <= count:
         return views
     return context.rng.sample(views, count)
 
 
-def _lowest(views, context, key):
+def _choose_lowest(views, context, key):
     best = min(views, key=lambda view: (key(view), context.rng.random()))
     return _registry.Choice(server=best.server)
--- a/wigeonrouter/selection/_free_slot.py
+++ b/wigeonrouter/selection/_free_slot.py
@@ -6,7 +6,7 @@
 # Requests in the queue per server from which on one request is sent ahead to
 # a server in another failure domain. It starts while the answer before it is
 # still on its way; without it such slots idle for a round-trip time.
-SEND_AHEAD_WAITING = 2
+SEND_AHEAD_QUEUE_PER_SERVER = 2
 
 
 @_registry.policy("free_slot")
@@ -15,18 +15,18 @@
 
     Ties are broken at random by starting at a random server.
     """
-    views = _load.without_paused(views, context.now)
+    views = _load.without_backed_off(views, context.now)
     count = len(views)
     start = int(context.rng.random() * count)
     weight = 1000 * context.routing.price_per_ms
-    ahead = context.waiting >= SEND_AHEAD_WAITING * count
+    send_ahead = context.queue_length >= SEND_AHEAD_QUEUE_PER_SERVER * count
     best, best_price, best_load = None, 0.0, 0
     for position in range(start, start + count):
         view = views[position - count if position >= count else position]
         # Most of a busy service's servers are full by our own count alone.
-        if view.in_flight >= view.server.slots and not ahead:
+        if view.in_flight >= view.server.slots and not send_ahead:
             continue
-        price = view.latency * weight + _load.place_price(
+        price = view.latency * weight + _load.locality_price(
             view, request, context
         )
         if best is not None and (
@@ -34,7 +34,9 @@
             or (price == best_price and view.in_flight >= best_load)
         ):
             continue
-        if _load.occupied(view, context.now) + 1 > _room(view, context, ahead):
+        if _load.expected_busy_slots(view, context.now) + 1 > _request_limit(
+            view, context, send_ahead
+        ):
             continue
         best, best_price, best_load = view, price, view.in_flight
     if best is None:
@@ -42,9 +44,9 @@
     return _registry.Choice(server=best.server)
 
 
-def _room(view, context, ahead):
-    room = _load.capacity(view)
-    if ahead and view.server.place != context.place:
+def _request_limit(view, context, send_ahead):
+    limit = _load.concurrency_limit(view)
+    if send_ahead and view.server.place != context.place:
         # A server that does not use all its slots has no queue to fill.
-        return room + (room >= view.server.slots)
-    return room
+        return limit + (limit >= view.server.slots)
+    return limit
--- a/wigeonrouter/selection/_policies_test.py
+++ b/wigeonrouter/selection/_policies_test.py
@@ -93,10 +93,10 @@
         (
             "free_slot",
             [_view("a", place=_NEAR, in_flight=2)],
-            {"waiting": 2},
+            {"queue_length": 2},
             "a",
         ),
-        ("free_slot", [_view("a", in_flight=2)], {"waiting": 2}, None),
+        ("free_slot", [_view("a", in_flight=2)], {"queue_length": 2}, None),
         ("round_robin", [_view("a"), _view("b")], {"sequence": 3}, "b"),
         (
             "least_in_flight",
@@ -139,25 +139,25 @@
         (
             "slot_shares",
             [_view("a"), _view("b")],
-            {"share": (2, 4)},
+            {"slot_share": (2, 4)},
             "b",
         ),
         (
             "slot_shares",
             [_view("a"), _view("b", in_flight=1)],
-            {"share": (2, 4)},
+            {"slot_share": (2, 4)},
             None,
         ),
         (
             "node_status",
             [_view("a", in_flight=1), _view("b"), _view("c", in_flight=4)],
-            {"memory": "a"},
+            {"policy_state": "a"},
             "a",
         ),
         (
             "node_status",
             [_view("a", in_flight=4), _view("b"), _view("c", in_flight=1)],
-            {"memory": "a"},
+            {"policy_state": "a"},
             "b",
         ),
     ],
@@ -201,4 +201,4 @@
     name = _choose("free_slot", views, seed=seed)
     if name is not None:
         view = by_name[name]
-        assert view.in_flight + 1 <= selection.capacity(view)
+        assert view.in_flight + 1 <= selection.concurrency_limit(view)
--- a/wigeonrouter/selection/_registry.py
+++ b/wigeonrouter/selection/_registry.py
@@ -15,7 +15,7 @@
     """
 
     server: core.BackendServer
-    memory: object = None
+    policy_state: object = None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -44,9 +44,9 @@
     now: float
     rng: object
     sequence: int
-    waiting: int = 0
-    memory: object = None
-    share: tuple[int, int] = (0, 1)
+    queue_length: int = 0
+    policy_state: object = None
+    slot_share: tuple[int, int] = (0, 1)
 
 
 _POLICIES = {}
