--- a/wigeonrouter/daemon/_daemon.py
+++ b/wigeonrouter/daemon/_daemon.py
@@ -103,10 +103,10 @@
             own_member=lambda: self._gossip.table.own,
             claim_from_peer=self._claim_from_peer,
             observe=self._observe,
-            announce=lambda *sign: self._signs.announce(*sign),
+            announce=lambda *sign: self._drain_tracker.announce(*sign),
             rng=self._rng,
         )
-        self._signs = health.ServerSigns(
+        self._drain_tracker = health.DrainTracker(
             gossip=self._gossip,
             store=self._store,
             replica=self._replica,
@@ -193,7 +193,7 @@
         self._tasks = [
             gevent.spawn(self._housekeep),
             gevent.spawn(self._prober.run),
-            gevent.spawn(self._signs.run),
+            gevent.spawn(self._drain_tracker.run),
         ]
         _log.info(
             "started",
--- a/wigeonrouter/daemon/_drain_test.py
+++ b/wigeonrouter/daemon/_drain_test.py
@@ -26,6 +26,6 @@
     server = core.Address(host="127.0.0.1", port=7001)
     daemon.drain_server(address=server, draining=True, author="a")
     daemon.drain_server(address=server, draining=False, author="b")
-    # health.ServerSigns hands the addresses of draining facts on.
+    # health.DrainTracker hands the addresses of draining facts on.
     address = "127.0.0.1:7001"
     assert seen == [[(address, "draining")], [(address, "active")]]
--- a/wigeonrouter/dispatch/_dispatcher.py
+++ b/wigeonrouter/dispatch/_dispatcher.py
@@ -338,7 +338,7 @@
         if not views:
             return None
         if self._servers.has_cold and not request.kind.idempotent:
-            views = health.proved_views(views)
+            views = health.non_idempotent_candidates(views)
         self._sequence += 1
         choice = self._policy(
             views=views,
--- a/wigeonrouter/dispatch/_server_table.py
+++ b/wigeonrouter/dispatch/_server_table.py
@@ -86,7 +86,7 @@
         self._draining = addresses
         for name, view in self._views.items():
             if str(view.server.address) in returned:
-                self._views[name] = health.after_return(view=view, now=now)
+                self._views[name] = health.after_drain_end(view=view, now=now)
         self._sort()
 
     def put(self, view):
@@ -111,7 +111,7 @@
         self._positions = {}
         self._eligible, self._local, self._foreign = [], [], {}
         for name, view in self._views.items():
-            if not health.may_get_work(view=view, draining=self._draining):
+            if not health.is_eligible(view=view, draining=self._draining):
                 continue
             region = view.server.place.region
             if region == self._place.region:
--- a/wigeonrouter/health/__init__.py
+++ b/wigeonrouter/health/__init__.py
@@ -1,21 +1,21 @@
 """Health of backend servers: rules, the probe budget and the prober."""
 
 from wigeonrouter.health import _budget as budget  # noqa: F401
+from wigeonrouter.health import _drain_tracker
 from wigeonrouter.health import _prober
 from wigeonrouter.health import _rules
-from wigeonrouter.health import _signs
 
 ProbeResult = _rules.ProbeResult
 Prober = _prober.Prober
-ServerSigns = _signs.ServerSigns
+DrainTracker = _drain_tracker.DrainTracker
 
 advance = _rules.advance
 after_attempt = _rules.after_attempt
-after_return = _rules.after_return
+after_drain_end = _rules.after_drain_end
 after_probe = _rules.after_probe
-may_get_work = _rules.may_get_work
+is_eligible = _rules.is_eligible
 needs_probe = _rules.needs_probe
 new_view = _rules.new_view
 next_state = _rules.next_state
 probe_server = _prober.probe_server
-proved_views = _rules.proved_views
+non_idempotent_candidates = _rules.non_idempotent_candidates
--- a/wigeonrouter/health/_signs.py
+++ b/wigeonrouter/health/_drain_tracker.py
@@ -20,7 +20,7 @@
 _DRAINING = core.ServerState.DRAINING.value
 
 
-class ServerSigns:
+class DrainTracker:
     """Owns what this daemon has stated about backend servers."""
 
     def __init__(self, *, gossip, store, replica, apply_draining):
--- a/wigeonrouter/health/_signs_test.py
+++ b/wigeonrouter/health/_drain_tracker_test.py
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def signs():
-    """ServerSigns with one configured server, and what it applied."""
+    """DrainTracker with one configured server, and what it applied."""
     gossip = _Gossip()
     applied = []
     service = core.EffectiveService(
@@ -53,7 +53,7 @@
         services={"/s": service},
         subscribe=lambda listener: listener(replica),
     )
-    made = health.ServerSigns(
+    made = health.DrainTracker(
         gossip=gossip,
         store=None,
         replica=replica,
--- a/wigeonrouter/health/_prober.py
+++ b/wigeonrouter/health/_prober.py
@@ -117,9 +117,9 @@
         return _rules.ProbeResult(reached=True)
     finally:
         client.close()
-    leaving = "state=draining" in load
+    draining = "state=draining" in load
     return _rules.ProbeResult(
         reached=True,
-        healthy=response.status_code == 200 and not leaving,
-        leaving=leaving,
+        healthy=response.status_code == 200 and not draining,
+        draining=draining,
     )
--- a/wigeonrouter/health/_rules.py
+++ b/wigeonrouter/health/_rules.py
@@ -37,7 +37,7 @@
 
     reached: bool
     healthy: bool = False
-    leaving: bool = False
+    draining: bool = False
 
 
 def after_attempt(*, view, attempt):
@@ -135,13 +135,13 @@
       now: seconds on the monotonic clock.
     """
     healthy = probe.healthy
-    if probe.leaving:
+    if probe.draining:
         return _drain(view)
     if view.state is core.ServerState.DRAINING:
         if not probe.reached:
             return dataclasses.replace(view, stopped=True)
         if view.stopped and healthy:
-            return after_return(view=view, now=now)
+            return after_drain_end(view=view, now=now)
         return view
     if view.state is core.ServerState.EJECTED and healthy:
         view = _make_cold(view, now)
@@ -150,7 +150,7 @@
     return view
 
 
-def after_return(*, view, now):
+def after_drain_end(*, view, now):
     """Return the view of a server that is known to be back.
 
     Args:
@@ -164,7 +164,7 @@
     )
 
 
-def may_get_work(*, view, draining):
+def is_eligible(*, view, draining):
     """Return whether a server may get new requests.
 
     Args:
@@ -186,7 +186,7 @@
     ) or _is_unproved(view)
 
 
-def proved_views(views):
+def non_idempotent_candidates(views):
     """Return the views that a non-idempotent request may be sent to.
 
     A server that has come back from ejection is first tried by a probe or by
--- a/wigeonrouter/health/_rules_test.py
+++ b/wigeonrouter/health/_rules_test.py
@@ -92,11 +92,11 @@
     now, pauses = 0.0, []
     for _ in range(4):
         view = _step(view, refused, group, now)
-        assert not health.may_get_work(view=view, draining=frozenset())
+        assert not health.is_eligible(view=view, draining=frozenset())
         pauses.append(view.ejected_until - now)
         now = view.ejected_until
         view = health.advance(view=view, settings=_SETTINGS, now=now)
-        assert health.may_get_work(view=view, draining=frozenset())
+        assert health.is_eligible(view=view, draining=frozenset())
     assert pauses == pytest.approx([0.1, 0.2, 0.4, 0.8])
 
 
@@ -129,12 +129,12 @@
     view = _step(group[0], attempt, group)
     view = _probe(view, reached=True, healthy=True, now=2.0)
     view = health.advance(view=view, settings=_SETTINGS, now=1000.0)
-    assert not health.may_get_work(view=view, draining=frozenset())
+    assert not health.is_eligible(view=view, draining=frozenset())
 
 
 def test_a_sign_of_leaving_in_a_health_report_is_believed():
-    view = _probe(_group()[0], reached=True, leaving=True, now=1.0)
-    assert not health.may_get_work(view=view, draining=frozenset())
+    view = _probe(_group()[0], reached=True, draining=True, now=1.0)
+    assert not health.is_eligible(view=view, draining=frozenset())
 
 
 def test_a_restarted_server_comes_back_cold():
@@ -144,7 +144,7 @@
     view = _probe(view, reached=False, now=2.0)
     view = _probe(view, reached=True, healthy=True, now=3.0)
     assert view.state is core.ServerState.COLD
-    assert health.may_get_work(view=view, draining=frozenset())
+    assert health.is_eligible(view=view, draining=frozenset())
 
 
 def test_a_server_back_from_ejection_is_not_tried_with_a_booking():
@@ -152,10 +152,10 @@
     view = health.advance(view=view, settings=_SETTINGS, now=100.0)
     others = tuple(_group()[1:])
     assert view.state is core.ServerState.COLD
-    assert health.proved_views((view, *others)) == others
-    assert health.proved_views((view,)) == (view,)
+    assert health.non_idempotent_candidates((view, *others)) == others
+    assert health.non_idempotent_candidates((view,)) == (view,)
     probed = _probe(view, reached=True, healthy=True, now=101.0)
-    assert probed in health.proved_views((probed, *others))
+    assert probed in health.non_idempotent_candidates((probed, *others))
 
 
 @pytest.mark.parametrize("source", ["settings", "fact"])
@@ -166,7 +166,7 @@
         view = dataclasses.replace(view, server=_server(0, draining=True))
     else:
         draining = frozenset((str(view.server.address),))
-    assert not health.may_get_work(view=view, draining=draining)
+    assert not health.is_eligible(view=view, draining=draining)
 
 
 class GroupMachine(stateful.RuleBasedStateMachine):
@@ -185,7 +185,7 @@
     )
     def attempt(self, index, outcome, draining):
         view = self.group[index]
-        if not health.may_get_work(view=view, draining=frozenset()):
+        if not health.is_eligible(view=view, draining=frozenset()):
             return
         report = _report(draining)
         self.group[index] = _step(
@@ -220,7 +220,7 @@
     @stateful.invariant()
     def a_leaving_server_gets_no_work_until_it_restarted(self):
         for index in self.said_leaving:
-            assert not health.may_get_work(
+            assert not health.is_eligible(
                 view=self.group[index], draining=frozenset()
             )
 
