--- a/wigeonrouter/health/__init__.py
+++ b/wigeonrouter/health/__init__.py
@@ -1,4 +1,4 @@
-"""Health of backend servers: rules, the probe budget and the prober."""
+"""Health checking of backend servers: ejection, draining and probes."""
 
 from wigeonrouter.health import _budget as budget  # noqa: F401
 from wigeonrouter.health import _drain_tracker
--- a/wigeonrouter/health/_budget.py
+++ b/wigeonrouter/health/_budget.py
@@ -1,33 +1,35 @@
-"""Bounds probes for the whole fleet, without messages between daemons.
-
-The first home daemon of a service in an area (a region or a failure domain,
-by the service's entry scope) is its only prober there, since it sees nearly
-all of the area's requests and so knows which servers need a probe. Each area
-that the settings name has an equal, fixed part of the budget. After the
-owner of a part changed, or after a pause, nobody spends it for longer than
-the old owner needs to learn of the change, so that two daemons never spend
-the same part at once.
+"""Limits the fleet-wide probe rate without coordination between daemons.
+
+A scope is a region or a failure domain, depending on the service's
+entry_scope. In each scope only the first home daemon of a service probes its
+servers: nearly all requests of the scope pass through that daemon, so it
+knows which servers need a probe. The probe rate of the service is divided
+equally between the scopes that the settings name. After the owner of a scope
+has changed, or after the process was paused, no tokens are added for
+OWNER_CHANGE_HOLD_OFF_S. This is longer than the previous owner needs to
+detect the change, so two daemons never spend the same share of the budget at
+the same time.
 """
 
 import dataclasses
 
-# Longer than the detection of a dead daemon (one exchange, 3 s of suspicion)
-# and the spreading of that news.
-HOLD_OFF_S = 6.0
-# A gap between two ticks of this length means that the process was paused.
-PAUSE_S = 1.0
+# Longer than failure detection of a daemon (one exchange and 3 s of suspicion)
+# plus the dissemination of the result by gossip.
+OWNER_CHANGE_HOLD_OFF_S = 6.0
+# A longer gap between two refills means that the process was paused.
+MIN_PAUSE_S = 1.0
 _MAX_TOKENS = 1.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class ProbeShare:
-    """One daemon's part of a service's probe budget.
+class ProbeTokenBucket:
+    """Token bucket for the probes of one service in one scope.
 
     Attributes:
-      tokens: probes that may be sent now.
-      updated: time of the last update, seconds.
-      blocked_until: no probe before this time, seconds.
-      owner: id of the daemon that owned the part at the last update.
+      tokens: number of probes that may be sent now.
+      updated: time of the last refill, seconds on the monotonic clock.
+      blocked_until: end of the hold-off, seconds on the monotonic clock.
+      owner: id of the daemon that was the prober at the last refill.
     """
 
     tokens: float = 0.0
@@ -36,57 +38,62 @@
     owner: str | None = None
 
 
-def new_share(*, now):
-    """Return the share of a daemon that has just started."""
-    return ProbeShare(updated=now, blocked_until=now + HOLD_OFF_S)
+def new_token_bucket(*, now):
+    """Return an empty bucket with a hold-off that starts now, seconds."""
+    return ProbeTokenBucket(
+        updated=now, blocked_until=now + OWNER_CHANGE_HOLD_OFF_S
+    )
 
 
-def area_rate(*, service, place):
-    """Return the probes per second that the area of a place may spend.
+def scope_rate(*, service, place):
+    """Return the probe rate of a daemon's scope, in probes per second.
 
-    The divisor comes from the settings and not from the live view, which
-    daemons that lost each other do not share. An area without servers in
-    the settings has no part.
+    The budget is divided by the number of scopes in the settings and not by
+    that of live scopes, on which daemons disagree during a network
+    partition. The rate is 0 if the settings name no server in the scope.
 
     Args:
       service: core.EffectiveService.
       place: core.Place of the daemon.
     """
     if service.routing.entry_scope == "failure-domain":
-        areas = {server.place for server in service.servers}
-        own = place
+        scopes = {server.place for server in service.servers}
+        own_scope = place
     else:
-        areas = {server.place.region for server in service.servers}
-        own = place.region
-    if own not in areas:
+        scopes = {server.place.region for server in service.servers}
+        own_scope = place.region
+    if own_scope not in scopes:
         return 0.0
-    return service.health.probes_per_second / len(areas)
+    return service.health.probes_per_second / len(scopes)
+
 
+def refill(*, bucket, rate, owner, daemon_id, now):
+    """Return the bucket with the tokens gained since the last refill.
 
-def refill(*, share, rate, owner, daemon_id, now):
-    """Return the share after the time that has passed.
+    A change of the owner or a gap of more than MIN_PAUSE_S starts the
+    hold-off. A daemon that is not the owner has no tokens.
 
     Args:
-      share: ProbeShare.
-      rate: probes per second of the area.
-      owner: id of the present owner, or None.
-      daemon_id: this daemon.
+      bucket: ProbeTokenBucket.
+      rate: probes per second of the scope.
+      owner: id of the daemon that is the prober now, or None.
+      daemon_id: id of this daemon.
       now: seconds on the monotonic clock.
     """
-    blocked_until = share.blocked_until
-    if owner != share.owner or now - share.updated > PAUSE_S:
-        blocked_until = now + HOLD_OFF_S
+    blocked_until = bucket.blocked_until
+    if owner != bucket.owner or now - bucket.updated > MIN_PAUSE_S:
+        blocked_until = now + OWNER_CHANGE_HOLD_OFF_S
     tokens = 0.0
     if owner == daemon_id and now >= blocked_until:
-        gained = rate * (now - share.updated)
-        tokens = min(_MAX_TOKENS, share.tokens + gained)
-    return ProbeShare(
+        gained = rate * (now - bucket.updated)
+        tokens = min(_MAX_TOKENS, bucket.tokens + gained)
+    return ProbeTokenBucket(
         tokens=tokens, updated=now, blocked_until=blocked_until, owner=owner
     )
 
 
-def spend(share):
-    """Return the share after one probe, or None if it has no token."""
-    if share.tokens < 1.0:
+def take_token(bucket):
+    """Return the bucket without one token, or None if it has none."""
+    if bucket.tokens < 1.0:
         return None
-    return dataclasses.replace(share, tokens=share.tokens - 1.0)
+    return dataclasses.replace(bucket, tokens=bucket.tokens - 1.0)
--- a/wigeonrouter/health/_budget_test.py
+++ b/wigeonrouter/health/_budget_test.py
@@ -1,4 +1,4 @@
-"""Guards against probes beyond the fleet-wide budget."""
+"""Guards against a probe rate above the fleet-wide budget."""
 
 import dataclasses
 import random
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("scope", ["region", "failure-domain"])
-def test_the_parts_of_all_areas_add_up_to_the_budget(scope):
+def test_scope_rates_sum_to_the_service_budget(scope):
     service = _service(scope)
     places = {server.place for server in service.servers}
     if scope == "region":
@@ -43,23 +43,23 @@
             for region in _REGIONS
         }
     total = sum(
-        _budget.area_rate(service=service, place=place) for place in places
+        _budget.scope_rate(service=service, place=place) for place in places
     )
     assert total == pytest.approx(_RATE)
 
 
-def test_an_area_without_servers_has_no_part():
+def test_scope_without_servers_has_zero_rate():
     place = core.Place(region="elsewhere", failure_domain="x")
-    assert _budget.area_rate(service=_service(), place=place) == 0.0
+    assert _budget.scope_rate(service=_service(), place=place) == 0.0
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_daemons_that_come_go_pause_and_disagree_stay_in_budget(seed):
-    """Two daemons whose views differ for up to 5 s, with pauses."""
+def test_probe_budget_holds_across_owner_changes_pauses_and_stale_views(seed):
+    """Two daemons disagree on the owner for up to 5 s, and pause at times."""
     rng = random.Random(seed)
-    shares = {name: _budget.new_share(now=0.0) for name in "ab"}
+    buckets = {name: _budget.new_token_bucket(now=0.0) for name in "ab"}
     views = {name: "a" for name in "ab"}
-    true_owner, changed, spent, step = "a", 0.0, [], 0.1
+    true_owner, changed, probe_times, step = "a", 0.0, [], 0.1
     paused = {name: 0.0 for name in "ab"}
     for tick in range(3000):
         now = tick * step
@@ -72,39 +72,39 @@
                 continue
             if now - changed > 5 or rng.random() < 0.05:
                 views[name] = true_owner
-            share = _budget.refill(
-                share=shares[name],
+            bucket = _budget.refill(
+                bucket=buckets[name],
                 rate=_RATE,
                 owner=views[name],
                 daemon_id=name,
                 now=now,
             )
-            after = _budget.spend(share)
-            if after is not None:
-                spent.append(now)
-                share = after
-            shares[name] = share
-    for start in spent:
-        window = [t for t in spent if start <= t < start + 10]
+            taken = _budget.take_token(bucket)
+            if taken is not None:
+                probe_times.append(now)
+                bucket = taken
+            buckets[name] = bucket
+    for start in probe_times:
+        window = [t for t in probe_times if start <= t < start + 10]
         assert len(window) <= _RATE * 10 + 1
 
 
-def test_without_the_hold_off_the_budget_would_be_exceeded():
-    """Shows that the hold-off is what keeps two owners apart."""
-    both = 0
+def test_budget_is_exceeded_without_the_hold_off():
+    """Without it, two daemons that both see themselves as owner add up."""
+    probes_sent = 0
     for name in "ab":
-        share = dataclasses.replace(
-            _budget.new_share(now=0.0), owner=name, blocked_until=0.0
+        bucket = dataclasses.replace(
+            _budget.new_token_bucket(now=0.0), owner=name, blocked_until=0.0
         )
         for tick in range(10):
-            share = _budget.refill(
-                share=share,
+            bucket = _budget.refill(
+                bucket=bucket,
                 rate=_RATE,
                 owner=name,
                 daemon_id=name,
                 now=tick * 0.5,
             )
-            after = _budget.spend(share)
-            both += after is not None
-            share = after or share
-    assert both > _RATE * 5
+            taken = _budget.take_token(bucket)
+            probes_sent += taken is not None
+            bucket = taken or bucket
+    assert probes_sent > _RATE * 5
--- a/wigeonrouter/health/_drain_tracker.py
+++ b/wigeonrouter/health/_drain_tracker.py
@@ -1,7 +1,8 @@
-"""Turns the signs of backend servers and the VM list into facts.
+"""Publishes which backend servers are draining, as gossiped facts.
 
-Facts spread by gossip, so that daemons which do not talk to a server learn
-that it is leaving, also while the store is down.
+The sources are announcements of the servers themselves and the VM list.
+Gossip also reaches daemons that send no requests to a server, and it works
+while the store is unavailable.
 """
 
 import gevent
@@ -10,10 +11,10 @@
 from wigeonrouter import store as store_api
 from wigeonrouter.health import _vm_list
 
-# Source of facts that come from a server's own sign of leaving.
-OWN_SIGN = "own-sign"
-# One daemon per region reads the list, so this costs the store one call
-# every two seconds and region.
+# Source of facts that come from the announcement of a server itself.
+SERVER_ANNOUNCEMENT = "own-sign"
+# One daemon per region polls the VM list, so the store gets one call per
+# region in each interval.
 POLL_INTERVAL_S = 2.0
 TASK = "vm-list-reader"
 _ACTIVE = "active"
@@ -21,32 +22,33 @@
 
 
 class DrainTracker:
-    """Owns what this daemon has stated about backend servers."""
+    """Publishes drain facts and applies those of all daemons."""
 
     def __init__(self, *, gossip, store, replica, apply_draining):
         self._gossip = gossip
         self._store = store
         self._replica = replica
         self._apply_draining = apply_draining
-        self._by_host = {}
-        gossip.subscribe_facts(self._on_facts)
-        replica.subscribe(self._on_configuration)
+        self._addresses_by_host = {}
+        gossip.subscribe_facts(self._on_facts_changed)
+        replica.subscribe(self._on_configuration_changed)
 
-    def announce(self, address, leaving):
-        """State that a server gave a sign of leaving, or has come back.
+    def announce(self, address, draining):
+        """Publish that a server has announced or ended a drain.
 
         Args:
           address: core.Address.
-          leaving: whether it leaves.
+          draining: True where the server is draining, False where it accepts
+            requests again.
         """
         self._gossip.assert_fact(
             address=address,
-            state=_DRAINING if leaving else _ACTIVE,
-            source=OWN_SIGN,
+            state=_DRAINING if draining else _ACTIVE,
+            source=SERVER_ANNOUNCEMENT,
         )
 
     def run(self):
-        """Read the VM list while this daemon is the region's reader."""
+        """Poll the VM list while this daemon is the reader of its region."""
         version = 0
         while True:
             gevent.sleep(POLL_INTERVAL_S)
@@ -62,27 +64,31 @@
                 self.apply_listing(listing)
 
     def apply_listing(self, listing):
-        """State what a store.VmListing says that is not known yet."""
+        """Publish the differences between a store.VmListing and the facts."""
         known = {
             fact.address: fact
             for fact in self._gossip.facts
             if fact.source == _vm_list.SOURCE
         }
-        for statement in _vm_list.statements(
-            listing=listing, by_host=self._by_host, known=known
+        for change in _vm_list.state_changes(
+            listing=listing,
+            addresses_by_host=self._addresses_by_host,
+            known=known,
         ):
             self._gossip.assert_fact(
-                address=statement.address,
-                state=statement.state,
+                address=change.address,
+                state=change.state,
                 source=_vm_list.SOURCE,
             )
 
-    def _on_facts(self, facts):
+    def _on_facts_changed(self, facts):
         self._apply_draining(
             frozenset(
                 fact.address for fact in facts if fact.state == _DRAINING
             )
         )
 
-    def _on_configuration(self, replica):
-        self._by_host = _vm_list.servers_by_host(replica.services.values())
+    def _on_configuration_changed(self, replica):
+        self._addresses_by_host = _vm_list.group_addresses_by_host(
+            replica.services.values()
+        )
--- a/wigeonrouter/health/_drain_tracker_test.py
+++ b/wigeonrouter/health/_drain_tracker_test.py
@@ -1,4 +1,4 @@
-"""Guards against daemons that do not learn that a server is leaving."""
+"""Guards against drains of a server that daemons do not see."""
 
 import types
 
@@ -12,7 +12,7 @@
 
 
 class _Gossip:
-    """Keeps facts like membership.Gossip, for one daemon."""
+    """Fake of membership.Gossip that stores the facts of one daemon."""
 
     def __init__(self):
         self.known = {}
@@ -34,8 +34,8 @@
 
 
 @pytest.fixture
-def signs():
-    """DrainTracker with one configured server, and what it applied."""
+def tracker():
+    """DrainTracker with one server, its gossip and the sets it applied."""
     gossip = _Gossip()
     applied = []
     service = core.EffectiveService(
@@ -74,26 +74,26 @@
     return store.VmListing(version=1, vms=(vm,))
 
 
-def test_any_one_source_suffices_and_none_undoes_another(signs):
-    signs.made.announce(_ADDRESS, True)
-    signs.made.apply_listing(_listing("leaving"))
-    signs.gossip.assert_fact(
+def test_each_source_ends_only_its_own_drain(tracker):
+    tracker.made.announce(_ADDRESS, True)
+    tracker.made.apply_listing(_listing("leaving"))
+    tracker.gossip.assert_fact(
         address=_ADDRESS, state="draining", source="operator"
     )
-    signs.made.announce(_ADDRESS, False)
-    assert signs.applied[-1] == {str(_ADDRESS)}
-    signs.made.apply_listing(_listing("live"))
-    assert signs.applied[-1] == {str(_ADDRESS)}
-    signs.gossip.assert_fact(
+    tracker.made.announce(_ADDRESS, False)
+    assert tracker.applied[-1] == {str(_ADDRESS)}
+    tracker.made.apply_listing(_listing("live"))
+    assert tracker.applied[-1] == {str(_ADDRESS)}
+    tracker.gossip.assert_fact(
         address=_ADDRESS, state="active", source="operator"
     )
-    assert signs.applied[-1] == frozenset()
+    assert tracker.applied[-1] == frozenset()
 
 
-def test_a_list_that_says_nothing_new_states_nothing(signs):
-    signs.made.apply_listing(_listing("live"))
-    assert signs.gossip.facts == ()
-    signs.made.apply_listing(_listing("leaving"))
-    count = len(signs.applied)
-    signs.made.apply_listing(_listing("leaving"))
-    assert len(signs.applied) == count
+def test_unchanged_vm_list_publishes_no_facts(tracker):
+    tracker.made.apply_listing(_listing("live"))
+    assert tracker.gossip.facts == ()
+    tracker.made.apply_listing(_listing("leaving"))
+    count = len(tracker.applied)
+    tracker.made.apply_listing(_listing("leaving"))
+    assert len(tracker.applied) == count
--- a/wigeonrouter/health/_faults_test.py
+++ b/wigeonrouter/health/_faults_test.py
@@ -1,7 +1,7 @@
-"""Guards against work that reaches leaving, failing or silent servers.
+"""Guards against requests to draining, failing or unresponsive servers.
 
-A real request handler sends requests to backend server stand-ins; only the
-callers' connections and the other daemons are left out.
+A real request handler sends requests to backend server stand-ins. Caller
+connections and other daemons are not part of these tests.
 """
 
 import random
@@ -36,16 +36,16 @@
 
 @pytest.fixture
 def handler(backends):
-    """A request handler with one service on the four servers."""
-    made = request_path.RequestHandler(
+    """A request handler with one service on the four stand-ins."""
+    request_handler = request_path.RequestHandler(
         place=_PLACE,
         own_member=lambda: None,
         claim_from_peer=lambda parsed, request_id: None,
         observe=lambda record: None,
         rng=random.Random(1),
     )
-    made.reconfigure({"/s": _service(backends)})
-    return made
+    request_handler.reconfigure({"/s": _service(backends)})
+    return request_handler
 
 
 def _service(backends, **server_changes):
@@ -71,10 +71,10 @@
 
 
 def _send(handler, count, method=b"GET", prefix=b"id"):
-    """Send requests from as many tasks as there are slots.
+    """Send requests with as much concurrency as there are slots.
 
-    Fewer would let the policy keep to its favourite servers, and a test
-    would not notice that another one wrongly gets work.
+    With less concurrency the routing policy could prefer some of the
+    servers, and a test would miss requests that wrongly go to another one.
     """
     outcomes = []
     tasks = 2 * _SERVERS
@@ -102,59 +102,62 @@
     return outcomes
 
 
-def _runs(standin):
+def _run_count(standin):
     return sum(standin.runs.values())
 
 
-def test_no_work_after_a_servers_own_sign_of_leaving(handler, backends):
+def test_server_announcing_a_drain_gets_no_new_requests(handler, backends):
     _send(handler, 20)
     backends[0].set_fault(draining=True)
     outcomes = _send(handler, 40, prefix=b"after")
     assert set(outcomes) == {b"ok"}
-    before = _runs(backends[0])
-    # The sign is gone, but only a restart proves that the server is back.
+    before = _run_count(backends[0])
+    # The announcement has ended, but only a restart ends the drain.
     backends[0].set_fault()
     _send(handler, 40, prefix=b"later")
-    assert _runs(backends[0]) == before
+    assert _run_count(backends[0]) == before
 
 
-def test_a_drain_in_the_settings_keeps_work_in_progress(handler, backends):
+def test_drain_in_settings_lets_requests_in_flight_finish(handler, backends):
     backends[0].set_fault(delay_ms=100)
     task = gevent.spawn(_send, handler, 30)
     gevent.sleep(0.05)
     handler.reconfigure({"/s": _service(backends, s0={"draining": True})})
     assert set(task.get()) == {b"ok"}
-    before = _runs(backends[0])
+    before = _run_count(backends[0])
     _send(handler, 40, prefix=b"later")
-    assert _runs(backends[0]) == before
+    assert _run_count(backends[0]) == before
 
 
-def test_a_declared_drain_stops_work(handler, backends):
+def test_declared_drain_stops_new_requests(handler, backends):
     _send(handler, 4)
-    before = _runs(backends[0])
+    before = _run_count(backends[0])
     handler.set_draining({f"127.0.0.1:{backends[0].port}"})
     _send(handler, 40, prefix=b"later")
-    assert _runs(backends[0]) == before
+    assert _run_count(backends[0]) == before
 
 
-def test_a_fast_failing_server_stops_attracting_requests(handler, backends):
+def test_fast_failing_server_is_ejected(handler, backends):
     backends[0].set_fault(fail=True)
     outcomes = _send(handler, 100)
-    # Two requests may be in its slots when the third failure is counted.
+    # Both slots may be in use when the third failure is counted, so that one
+    # more request fails.
     assert 0 < outcomes.count(b"failed") <= 4
 
 
-def test_a_black_hole_costs_few_requests(handler, backends):
+def test_unresponsive_server_loses_few_requests(handler, backends):
     backends[0].set_fault(silent=True)
     outcomes = _send(handler, 60, method=b"POST")
-    # Both slots, and one more request that takes the first slot to be freed
-    # before the second answer is known to be lost.
+    # Requests in both slots are lost, and one more that gets the first free
+    # slot before the second timeout ejects the server.
     assert 0 < outcomes.count(b"unknown") <= 3
     assert set(outcomes) <= {b"ok", b"unknown"}
     assert max(max(b.runs.values(), default=0) for b in backends) == 1
 
 
-def test_bookings_are_never_sent_twice_when_answers_are_cut(handler, backends):
+def test_non_idempotent_requests_run_once_when_responses_are_truncated(
+    handler, backends
+):
     for standin in backends:
         standin.set_fault(truncate=True)
     outcomes = _send(handler, 10, method=b"POST")
@@ -167,21 +170,21 @@
     assert set(runs.values()) == {1}
 
 
-def test_refusals_before_running_are_retried_elsewhere(handler, backends):
-    # The retry budget of a new service covers three retries; the backoff has
-    # to keep the other requests away from the refusing server.
+def test_not_run_refusals_are_retried_on_another_server(handler, backends):
+    # The initial retry budget of a service covers three retries, so the
+    # backoff must keep the other requests away from the refusing server.
     backends[0].set_fault(refuse=True)
     assert set(_send(handler, 200, method=b"POST")) == {b"ok"}
 
 
-def test_a_dead_server_does_not_use_up_the_retry_budget(handler, backends):
+def test_stopped_server_does_not_exhaust_the_retry_budget(handler, backends):
     backends[0].stop()
     assert set(_send(handler, 400, method=b"POST")) == {b"ok"}
 
 
-def test_all_servers_leaving_gives_a_true_not_run(handler, backends):
+def test_all_servers_draining_yields_not_run(handler, backends):
     for standin in backends:
         standin.set_fault(draining=True)
     outcomes = _send(handler, 10, method=b"POST")
     assert set(outcomes) == {b"not-run"}
-    assert all(_runs(standin) == 0 for standin in backends)
+    assert all(_run_count(standin) == 0 for standin in backends)
--- a/wigeonrouter/health/_prober.py
+++ b/wigeonrouter/health/_prober.py
@@ -1,4 +1,4 @@
-"""The task that probes backend servers which get no traffic."""
+"""Probes backend servers that get no requests because of their state."""
 
 import time
 
@@ -9,12 +9,12 @@
 from wigeonrouter.health import _budget
 from wigeonrouter.health import _rules
 
-TICK_S = 0.2
+TICK_INTERVAL_S = 0.2
 PROBE_TIMEOUT_S = 0.5
 
 
 class Prober:
-    """Owns the probe shares and the probe connections of one daemon."""
+    """Sends the probes of one daemon within the probe budget."""
 
     def __init__(
         self,
@@ -30,41 +30,43 @@
         self._live_members = live_members
         self._dispatchers = dispatchers
         self._clock = clock
-        self._shares = {}
-        self._next_server = {}
-        self._sent = 0
+        self._buckets = {}
+        self._probe_counts = {}
+        self._probes_sent = 0
 
     @property
-    def sent(self):
-        """Number of probes sent since the start."""
-        return self._sent
+    def probes_sent(self):
+        """Number of probes sent since the daemon started."""
+        return self._probes_sent
 
     def run(self):
-        """Probe until killed."""
+        """Call tick() periodically until the task is killed."""
         while True:
-            gevent.sleep(TICK_S)
+            gevent.sleep(TICK_INTERVAL_S)
             self.tick()
 
     def tick(self):
-        """Send the probes that are due and within the budget."""
+        """Update states and token buckets; send up to one probe a service."""
         now = self._clock()
         members = self._live_members()
         dispatchers = self._dispatchers()
-        for name in set(self._shares) - set(dispatchers):
-            del self._shares[name]
+        for name in set(self._buckets) - set(dispatchers):
+            del self._buckets[name]
         for name, dispatcher in dispatchers.items():
             dispatcher.advance()
-            share = self._shares.get(name) or _budget.new_share(now=now)
-            self._shares[name] = _budget.refill(
-                share=share,
-                rate=_budget.area_rate(
+            bucket = self._buckets.get(name) or _budget.new_token_bucket(
+                now=now
+            )
+            self._buckets[name] = _budget.refill(
+                bucket=bucket,
+                rate=_budget.scope_rate(
                     service=dispatcher.service, place=self._place
                 ),
                 owner=self._owner(dispatcher.service, members),
                 daemon_id=self._daemon_id,
                 now=now,
             )
-            self._probe_one(name, dispatcher)
+            self._probe_next_due(name, dispatcher)
 
     def _owner(self, service, members):
         homes = entries.home_members(
@@ -72,16 +74,16 @@
         )
         return homes[0].daemon_id if homes else None
 
-    def _probe_one(self, name, dispatcher):
+    def _probe_next_due(self, name, dispatcher):
         due = [view for view in dispatcher.views if _rules.needs_probe(view)]
-        share = _budget.spend(self._shares[name]) if due else None
-        if share is None:
+        bucket = _budget.take_token(self._buckets[name]) if due else None
+        if bucket is None:
             return
-        self._shares[name] = share
-        turn = self._next_server.get(name, 0)
-        self._next_server[name] = turn + 1
-        view = due[turn % len(due)]
-        self._sent += 1
+        self._buckets[name] = bucket
+        probe_count = self._probe_counts.get(name, 0)
+        self._probe_counts[name] = probe_count + 1
+        view = due[probe_count % len(due)]
+        self._probes_sent += 1
         gevent.spawn(self._probe, dispatcher, view.server)
 
     def _probe(self, dispatcher, server):
@@ -93,13 +95,16 @@
 
 
 def probe_server(*, address, path):
-    """Ask a backend server for its health.
+    """Send one health request to a backend server.
+
+    Connecting and each read are limited to PROBE_TIMEOUT_S.
 
     Args:
-      address: core.Address.
-      path: path of the request.
+      address: core.Address of the server.
+      path: path of the health endpoint.
     Returns:
-      A ProbeResult.
+      A ProbeResult. Network errors and malformed responses are results too
+      and raise nothing; only a refused connection counts as not reached.
     """
     client = geventhttpclient.HTTPClient(
         address.host,
@@ -109,7 +114,7 @@
     )
     try:
         response = client.get(path)
-        load = response.get("backend-load") or ""
+        load_report = response.get("backend-load") or ""
         response.read()
     except ConnectionRefusedError:
         return _rules.ProbeResult(reached=False)
@@ -117,7 +122,7 @@
         return _rules.ProbeResult(reached=True)
     finally:
         client.close()
-    draining = "state=draining" in load
+    draining = "state=draining" in load_report
     return _rules.ProbeResult(
         reached=True,
         healthy=response.status_code == 200 and not draining,
--- a/wigeonrouter/health/_processes_test.py
+++ b/wigeonrouter/health/_processes_test.py
@@ -1,6 +1,7 @@
-"""Guards against drains that do not reach every daemon.
+"""Guards against drains that reach only some of the daemons.
 
-Real daemons; the test plays callers, backend servers and the VM list.
+The daemons are real processes. The test acts as callers, backend servers and
+VM list.
 """
 
 import json
@@ -16,8 +17,9 @@
 from wigeonrouter.bench import _ports
 from wigeonrouter.bench import _processes
 
-# "A backend server that is leaving gets no new work after a few seconds."
-_FEW_SECONDS = 5.0
+# Requirement: a draining backend server gets no new requests after a few
+# seconds.
+_MAX_DRAIN_PROPAGATION_S = 5.0
 _BACKENDS = 3
 _PROBES_PER_SECOND = 2.0
 _WINDOW_S = 5.0
@@ -41,7 +43,7 @@
 
 @pytest.fixture
 def fleet(backends, tmp_path):
-    """A store and two daemons of two failure domains, configured."""
+    """A store and two configured daemons in different failure domains."""
     (store,) = _ports.free_addresses(1)
     ports = [_ports.free_ports(3) for _ in range(2)]
     with _processes.Fleet() as made:
@@ -103,9 +105,9 @@
         gevent.sleep(0.1)
 
 
-def _assert_gets_no_work(fleet, backend):
-    """Load all slots through both daemons; the backend must not run any."""
-    gevent.sleep(_FEW_SECONDS)
+def _assert_gets_no_requests(fleet, backend):
+    """Fill all slots through both daemons; none may be on this backend."""
+    gevent.sleep(_MAX_DRAIN_PROPAGATION_S)
     before = sum(backend.runs.values())
     for _ in range(5):
         for port in fleet.callers:
@@ -113,42 +115,40 @@
     assert sum(backend.runs.values()) == before
 
 
-def test_a_drain_action_reaches_all_daemons_while_the_store_is_down(
+def test_drain_action_reaches_all_daemons_while_the_store_is_paused(
     fleet, backends
 ):
     fleet.send_signal("store", signal.SIGSTOP)
     _processes.run_cli(
         "drain", f"127.0.0.1:{backends[0].port}", server=fleet.admins[0]
     )
-    _assert_gets_no_work(fleet, backends[0])
+    _assert_gets_no_requests(fleet, backends[0])
 
 
-def test_a_sign_that_one_daemon_sees_stops_work_of_all(fleet, backends):
+def test_drain_announcement_seen_by_one_daemon_reaches_all(fleet, backends):
     backends[0].set_fault(draining=True)
     _wait(lambda: set(_send(fleet.callers[0], 2 * _BACKENDS)) == {200})
-    # From now on its answers and its health report hide that it leaves.
+    # From here on neither its responses nor its probes announce the drain.
     backends[0].set_fault()
-    _assert_gets_no_work(fleet, backends[0])
+    _assert_gets_no_requests(fleet, backends[0])
 
 
-def test_a_drain_in_the_settings_reaches_all_daemons(
-    fleet, backends, tmp_path
-):
+def test_drain_in_settings_reaches_all_daemons(fleet, backends, tmp_path):
     document = _document(backends)
     servers = document["settings"]["groups"]["g"]["servers"]
     servers["s0"]["state"] = "draining"
     path = tmp_path / "drain.json"
     path.write_text(json.dumps(document))
     _processes.run_cli("apply", "/s", str(path), server=fleet.admins[1])
-    _assert_gets_no_work(fleet, backends[0])
+    _assert_gets_no_requests(fleet, backends[0])
 
 
-def test_probes_stay_in_the_budget_while_the_prober_dies(fleet, backends):
-    """Counted at the backend servers, over a change of the prober."""
+def test_probe_budget_holds_while_the_prober_is_paused(fleet, backends):
+    """Probes are counted at the backend servers while the prober changes."""
     for standin in backends:
         standin.set_fault(fail=True)
     callers = [gevent.spawn(_keep_sending, port) for port in fleet.callers]
-    # Both daemons have been up for longer than the hold-off by then.
+    # Longer than the hold-off that follows the start of both daemons.
     gevent.sleep(10)
     times = sorted(t for standin in backends for t in standin.probes)
     assert times, "no probe was sent, so the test shows nothing"
--- a/wigeonrouter/health/_rules.py
+++ b/wigeonrouter/health/_rules.py
@@ -1,38 +1,38 @@
-"""State of backend servers: outliers, cold starts and leaving.
+"""State machine of backend servers: ejection, slow start and draining.
 
-Pure functions over core.BackendView. A server that announces its leaving is
-trusted over its own health endpoint, which may lie: it gets work again only
-after it was seen to refuse connections and then to accept them, as a
-restarted process does.
+Pure functions over core.BackendView. A server that has announced a drain
+stays in draining even if its health endpoint reports success, since that
+report may be wrong. It gets requests again only after it has refused a
+connection and then accepted one, as a restarted process does.
 """
 
 import dataclasses
 
 from wigeonrouter import core
 
-# A lost or late answer occupies a slot until its deadline, so fewer of them
-# are tolerated than of fast failures.
-FAILURES_TO_EJECT = 3
-LOST_ANSWERS_TO_EJECT = 2
-EJECTION_S = 1.0
+# A lost or late response occupies a slot until its deadline, so the threshold
+# is lower than that for failures, which return quickly.
+CONSECUTIVE_FAILURES_TO_EJECT = 3
+CONSECUTIVE_UNKNOWN_TO_EJECT = 2
+BASE_EJECTION_S = 1.0
 MAX_EJECTION_S = 30.0
-ANSWERS_TO_PROVE = 10
-# A server that refuses looks idle and would attract every request, so it is
-# left alone for a short time that doubles.
-REFUSAL_BACKOFF_S = 0.1
+RESPONSES_TO_END_SLOW_START = 10
+# A server that refuses requests looks idle and would attract all of them, so
+# it is skipped for a time that doubles with each consecutive refusal.
+BASE_REFUSAL_BACKOFF_S = 0.1
 MAX_REFUSAL_BACKOFF_S = 5.0
-_FAILURE_WEIGHT = 0.1
-_LATENCY_WEIGHT = 0.2
+_FAILURE_RATIO_EWMA_WEIGHT = 0.1
+_LATENCY_EWMA_WEIGHT = 0.2
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ProbeResult:
-    """What a probe found.
+    """Result of one probe.
 
     Attributes:
-      reached: whether a connection was made.
-      healthy: whether the answer was status 200 without a sign of leaving.
-      leaving: whether the answer carried the server's sign of leaving.
+      reached: False only where the connection was refused.
+      healthy: whether the response had status 200 and announced no drain.
+      draining: whether the response announced a drain.
     """
 
     reached: bool
@@ -41,18 +41,18 @@
 
 
 def after_attempt(*, view, attempt):
-    """Return the view after an attempt, without any change of state.
+    """Return the view with updated statistics and an unchanged state.
 
     Args:
       view: core.BackendView.
-      attempt: core.AttemptResult; one that was cancelled says nothing.
+      attempt: core.AttemptResult; a cancelled one changes nothing.
     """
     if attempt.cancelled:
         return view
     failed = attempt.outcome in (core.Outcome.FAILED, core.Outcome.UNKNOWN)
     changes = {
-        "failure_ratio": _average(
-            view.failure_ratio, float(failed), _FAILURE_WEIGHT
+        "failure_ratio": _ewma(
+            view.failure_ratio, float(failed), _FAILURE_RATIO_EWMA_WEIGHT
         ),
         "failures_in_row": view.failures_in_row + 1 if failed else 0,
         "refusals_in_row": view.refusals_in_row + 1 if attempt.refused else 0,
@@ -62,7 +62,7 @@
     if attempt.outcome is core.Outcome.OK:
         changes["answers"] = view.answers + 1
         changes["latency"] = (
-            _average(view.latency, attempt.latency, _LATENCY_WEIGHT)
+            _ewma(view.latency, attempt.latency, _LATENCY_EWMA_WEIGHT)
             if view.latency
             else attempt.latency
         )
@@ -70,7 +70,7 @@
 
 
 def next_state(*, view, attempt, group, settings, now):
-    """Return the view with the state that follows from an attempt.
+    """Return the view with the state that results from an attempt.
 
     Args:
       view: core.BackendView after after_attempt().
@@ -80,18 +80,18 @@
       now: seconds on the monotonic clock.
     """
     if attempt.report is not None and attempt.report.draining:
-        return _drain(view)
+        return _mark_draining(view)
     if view.state is core.ServerState.DRAINING:
         return view
     if attempt.refused:
         if view.state is not core.ServerState.EJECTED and _may_eject(
             view, group, settings
         ):
-            return _back_off(view, now)
+            return _eject_refusing(view, now)
         return view
     if _is_outlier(view, attempt) and _may_eject(view, group, settings):
-        return _eject(view, now)
-    if view.answers >= ANSWERS_TO_PROVE and (
+        return _eject_outlier(view, now)
+    if view.answers >= RESPONSES_TO_END_SLOW_START and (
         view.ejections or view.state is core.ServerState.COLD
     ):
         return dataclasses.replace(
@@ -101,11 +101,12 @@
 
 
 def advance(*, view, settings, now):
-    """Return the view after the time has passed.
+    """Return the view with the transitions that are due by time.
 
-    An ejected server whose ejection has ended becomes cold: it gets one
-    request at a time until it has proved itself. A cold one becomes ready
-    after the slow start.
+    A server whose ejection has ended enters slow start, where it gets one
+    request at a time. One that was skipped for refusals becomes ready if it
+    had completed its slow start, else it stays in slow start. Slow start ends
+    after settings.slow_start seconds at the latest.
 
     Args:
       view: core.BackendView.
@@ -114,9 +115,13 @@
     """
     if view.state is core.ServerState.EJECTED and now >= view.ejected_until:
         if not view.refusals_in_row:
-            return _make_cold(view, now)
-        proved = view.answers >= ANSWERS_TO_PROVE
-        state = core.ServerState.READY if proved else core.ServerState.COLD
+            return _enter_slow_start(view, now)
+        past_slow_start = view.answers >= RESPONSES_TO_END_SLOW_START
+        state = (
+            core.ServerState.READY
+            if past_slow_start
+            else core.ServerState.COLD
+        )
         return dataclasses.replace(view, state=state)
     if (
         view.state is core.ServerState.COLD
@@ -127,7 +132,9 @@
 
 
 def after_probe(*, view, probe, now):
-    """Return the view after a probe.
+    """Return the view with the state that results from a probe.
+
+    A healthy probe ends an ejection and counts as a response in slow start.
 
     Args:
       view: core.BackendView of an ejected, cold or draining server.
@@ -136,7 +143,7 @@
     """
     healthy = probe.healthy
     if probe.draining:
-        return _drain(view)
+        return _mark_draining(view)
     if view.state is core.ServerState.DRAINING:
         if not probe.reached:
             return dataclasses.replace(view, stopped=True)
@@ -144,22 +151,22 @@
             return after_drain_end(view=view, now=now)
         return view
     if view.state is core.ServerState.EJECTED and healthy:
-        view = _make_cold(view, now)
+        view = _enter_slow_start(view, now)
     if view.state is core.ServerState.COLD and healthy:
         return dataclasses.replace(view, answers=view.answers + 1)
     return view
 
 
 def after_drain_end(*, view, now):
-    """Return the view of a server that is known to be back.
+    """Return the view of a server whose drain has ended, in slow start.
 
     Args:
-      view: core.BackendView.
+      view: core.BackendView; unchanged unless its state is draining.
       now: seconds on the monotonic clock.
     """
     if view.state is not core.ServerState.DRAINING:
         return view
-    return _make_cold(
+    return _enter_slow_start(
         dataclasses.replace(view, report=None, stopped=False), now
     )
 
@@ -169,7 +176,7 @@
 
     Args:
       view: core.BackendView.
-      draining: set of addresses, as text, that were declared to be leaving.
+      draining: set of addresses, as text, that were declared draining.
     """
     return not (
         view.server.draining
@@ -179,32 +186,34 @@
 
 
 def needs_probe(view):
-    """Return whether only a probe can tell that a server is back."""
+    """Return whether a server gets no requests that would show recovery."""
     return view.state in (
         core.ServerState.DRAINING,
         core.ServerState.EJECTED,
-    ) or _is_unproved(view)
+    ) or _is_half_open(view)
 
 
 def non_idempotent_candidates(views):
     """Return the views that a non-idempotent request may be sent to.
 
-    A server that has come back from ejection is first tried by a probe or by
-    an idempotent request, which lose nothing. Where no other server is left
-    all views are returned.
+    Half-open servers, which have not responded since their ejection ended,
+    are left out: a probe or an idempotent request can be lost without harm,
+    so these test the server first. All views are returned if every one of
+    them is half-open.
     """
-    return tuple(view for view in views if not _is_unproved(view)) or views
+    return tuple(view for view in views if not _is_half_open(view)) or views
 
 
 def new_view(*, server, now, known_group):
-    """Return the view of a server that was not known before.
+    """Return the initial view of a server.
 
     Args:
       server: core.BackendServer.
       now: seconds on the monotonic clock.
-      known_group: whether other servers of the service were known. The
-        first servers of a service start ready, since a daemon that has just
-        started says nothing about their age.
+      known_group: whether this daemon knew other servers of the service. If
+        so, the server was just added and begins with slow start. Otherwise
+        it starts as ready: the daemon has just started, or the service is
+        new to it, and the server may have been running for a long time.
     """
     state = core.ServerState.COLD if known_group else core.ServerState.READY
     return core.BackendView(
@@ -220,12 +229,12 @@
     if view.state is core.ServerState.COLD and view.ejections:
         return True
     if attempt.outcome is core.Outcome.UNKNOWN:
-        return view.failures_in_row >= LOST_ANSWERS_TO_EJECT
-    return view.failures_in_row >= FAILURES_TO_EJECT
+        return view.failures_in_row >= CONSECUTIVE_UNKNOWN_TO_EJECT
+    return view.failures_in_row >= CONSECUTIVE_FAILURES_TO_EJECT
 
 
 def _may_eject(view, group, settings):
-    """Return whether a further ejection leaves enough of the group."""
+    """Return whether one more ejection stays within max_ejected_ratio."""
     usable = [
         other
         for other in group
@@ -240,8 +249,10 @@
     return ejected + 1 <= len(usable) * settings.max_ejected_ratio
 
 
-def _eject(view, now):
-    duration = min(MAX_EJECTION_S, EJECTION_S * 2 ** min(view.ejections, 10))
+def _eject_outlier(view, now):
+    duration = min(
+        MAX_EJECTION_S, BASE_EJECTION_S * 2 ** min(view.ejections, 10)
+    )
     return dataclasses.replace(
         view,
         state=core.ServerState.EJECTED,
@@ -251,17 +262,17 @@
     )
 
 
-def _back_off(view, now):
+def _eject_refusing(view, now):
     duration = min(
         MAX_REFUSAL_BACKOFF_S,
-        REFUSAL_BACKOFF_S * 2 ** min(view.refusals_in_row - 1, 10),
+        BASE_REFUSAL_BACKOFF_S * 2 ** min(view.refusals_in_row - 1, 10),
     )
     return dataclasses.replace(
         view, state=core.ServerState.EJECTED, ejected_until=now + duration
     )
 
 
-def _drain(view):
+def _mark_draining(view):
     if view.state is core.ServerState.DRAINING:
         return view
     return dataclasses.replace(
@@ -269,7 +280,7 @@
     )
 
 
-def _make_cold(view, now):
+def _enter_slow_start(view, now):
     return dataclasses.replace(
         view,
         state=core.ServerState.COLD,
@@ -282,7 +293,7 @@
     )
 
 
-def _is_unproved(view):
+def _is_half_open(view):
     return (
         view.state is core.ServerState.COLD
         and view.ejections > 0
@@ -290,5 +301,5 @@
     )
 
 
-def _average(old, new, weight):
+def _ewma(old, new, weight):
     return old + weight * (new - old)
--- a/wigeonrouter/health/_rules_test.py
+++ b/wigeonrouter/health/_rules_test.py
@@ -1,4 +1,4 @@
-"""Guards against work for servers that are leaving, silent or failing."""
+"""Guards against requests to draining, unresponsive or failing servers."""
 
 import dataclasses
 
@@ -54,7 +54,7 @@
     )
 
 
-def _run(outcomes, count=4):
+def _view_after_outcomes(outcomes, count=4):
     group = _group(count)
     view = group[0]
     for outcome in outcomes:
@@ -76,14 +76,14 @@
         ([core.Outcome.NOT_RUN] * 9, core.ServerState.READY),
     ],
 )
-def test_failing_and_silent_servers_are_ejected(outcomes, state):
-    assert _run(outcomes).state is state
+def test_failing_and_unresponsive_servers_are_ejected(outcomes, state):
+    assert _view_after_outcomes(outcomes).state is state
 
 
 @pytest.mark.parametrize(
     "state", [core.ServerState.READY, core.ServerState.COLD]
 )
-def test_a_refusing_server_is_left_alone_for_longer_each_time(state):
+def test_refusing_server_backs_off_exponentially(state):
     group = _group()
     view = dataclasses.replace(group[0], state=state)
     refused = core.AttemptResult(
@@ -100,7 +100,7 @@
     assert pauses == pytest.approx([0.1, 0.2, 0.4, 0.8])
 
 
-def test_a_cancelled_attempt_says_nothing_of_the_server():
+def test_cancelled_attempt_does_not_change_the_view():
     group = _group()
     view = group[0]
     for _ in range(9):
@@ -110,7 +110,7 @@
     assert view == group[0]
 
 
-def test_ejection_never_takes_more_than_the_allowed_part_of_a_group():
+def test_ejections_respect_max_ejected_ratio():
     group = _group(4)
     for index, view in enumerate(group):
         for _ in range(5):
@@ -118,12 +118,12 @@
             group[index] = view
     ejected = [v for v in group if v.state is core.ServerState.EJECTED]
     assert len(ejected) == 2
-    assert _run([core.Outcome.FAILED] * 9, count=1).state is (
+    assert _view_after_outcomes([core.Outcome.FAILED] * 9, count=1).state is (
         core.ServerState.READY
     )
 
 
-def test_a_leaving_server_is_not_believed_when_its_health_endpoint_lies():
+def test_draining_server_stays_draining_despite_healthy_probes():
     group = _group()
     attempt = _attempt(core.Outcome.OK, report=_report(draining=True))
     view = _step(group[0], attempt, group)
@@ -132,12 +132,12 @@
     assert not health.is_eligible(view=view, draining=frozenset())
 
 
-def test_a_sign_of_leaving_in_a_health_report_is_believed():
+def test_drain_announced_in_a_probe_response_is_applied():
     view = _probe(_group()[0], reached=True, draining=True, now=1.0)
     assert not health.is_eligible(view=view, draining=frozenset())
 
 
-def test_a_restarted_server_comes_back_cold():
+def test_restarted_server_returns_in_slow_start():
     group = _group()
     attempt = _attempt(core.Outcome.OK, report=_report(draining=True))
     view = _step(group[0], attempt, group)
@@ -147,8 +147,8 @@
     assert health.is_eligible(view=view, draining=frozenset())
 
 
-def test_a_server_back_from_ejection_is_not_tried_with_a_booking():
-    view = _run([core.Outcome.UNKNOWN] * 2)
+def test_half_open_server_gets_no_non_idempotent_requests():
+    view = _view_after_outcomes([core.Outcome.UNKNOWN] * 2)
     view = health.advance(view=view, settings=_SETTINGS, now=100.0)
     others = tuple(_group()[1:])
     assert view.state is core.ServerState.COLD
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize("source", ["settings", "fact"])
-def test_declared_drains_stop_new_work_at_once(source):
+def test_declared_drain_makes_a_server_ineligible(source):
     view = _group()[0]
     draining = frozenset()
     if source == "settings":
@@ -170,13 +170,13 @@
 
 
 class GroupMachine(stateful.RuleBasedStateMachine):
-    """Random attempts, probes and time on a group of four servers."""
+    """Random attempts, probes and clock steps on a group of four servers."""
 
     def __init__(self):
         super().__init__()
         self.group = _group(4)
         self.now = 0.0
-        self.said_leaving = set()
+        self.announced_drain = set()
 
     @stateful.rule(
         index=strategies.integers(0, 3),
@@ -192,7 +192,7 @@
             view, _attempt(outcome, report=report), self.group, self.now
         )
         if draining:
-            self.said_leaving.add(index)
+            self.announced_drain.add(index)
 
     @stateful.rule(
         index=strategies.integers(0, 3),
@@ -201,7 +201,7 @@
     )
     def probe(self, index, reached, healthy):
         if not reached:
-            self.said_leaving.discard(index)
+            self.announced_drain.discard(index)
         self.group[index] = _probe(
             self.group[index],
             reached=reached,
@@ -218,14 +218,14 @@
         ]
 
     @stateful.invariant()
-    def a_leaving_server_gets_no_work_until_it_restarted(self):
-        for index in self.said_leaving:
+    def draining_server_is_ineligible_until_it_restarts(self):
+        for index in self.announced_drain:
             assert not health.is_eligible(
                 view=self.group[index], draining=frozenset()
             )
 
     @stateful.invariant()
-    def outlier_rules_leave_half_of_those_that_stay(self):
+    def ejections_leave_at_least_half_of_the_group(self):
         staying = [
             view
             for view in self.group
@@ -234,8 +234,8 @@
         ejected = [
             view for view in staying if view.state is core.ServerState.EJECTED
         ]
-        # A drain after the ejections may leave fewer than half.
-        if not self.said_leaving and len(staying) == len(self.group):
+        # Drains after the ejections may leave fewer than half.
+        if not self.announced_drain and len(staying) == len(self.group):
             assert len(ejected) <= len(staying) / 2
 
 
--- a/wigeonrouter/health/_vm_list.py
+++ b/wigeonrouter/health/_vm_list.py
@@ -1,8 +1,8 @@
-"""Derives facts on backend servers from the platform's VM list.
+"""Derives drain states of backend servers from the platform's VM list.
 
-The list lags: it may still show a VM as live that has gone, but a VM that it
-shows as leaving is leaving. So it is believed when it says leaving, and its
-"live" only takes back what the list itself said before.
+The list is stale at times: it may show a VM as live after the VM has gone,
+but a VM that it shows as leaving is leaving. So "leaving" always drains the
+servers of a VM, while "live" only ends a drain that the list itself caused.
 """
 
 import collections
@@ -16,11 +16,11 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class ServerStatement:
-    """What should be asserted of a backend server.
+class StateChange:
+    """New state of a backend server.
 
     Attributes:
-      address: IP number and port, as text.
+      address: IP address and port, as text.
       state: value of core.ServerState.
     """
 
@@ -28,13 +28,13 @@
     state: str
 
 
-def servers_by_host(services):
-    """Group the addresses of backend servers by IP number.
+def group_addresses_by_host(services):
+    """Group the addresses of backend servers by IP address.
 
     Args:
       services: iterable of core.EffectiveService.
     Returns:
-      A dict from IP number to a set of addresses as text.
+      A dict from IP address to a set of addresses with port, as text.
     """
     grouped = collections.defaultdict(set)
     for service in services:
@@ -43,33 +43,35 @@
     return grouped
 
 
-def statements(*, listing, by_host, known):
-    """Compare the VM list with what is known.
+def state_changes(*, listing, addresses_by_host, known):
+    """Compare the VM list with the facts that it has led to so far.
+
+    A VM's address without a port stands for all servers on that IP address.
 
     Args:
       listing: store.VmListing.
-      by_host: result of servers_by_host().
-      known: dict from address to an object with state and source.
+      addresses_by_host: result of group_addresses_by_host().
+      known: dict from address to a fact with state and source.
     Returns:
-      A tuple of ServerStatement that are news.
+      A tuple of StateChange, empty where the facts are up to date.
     """
-    news = []
+    changes = []
     for vm in listing.vms:
-        for address in sorted(_addresses(vm.address, by_host)):
+        for address in sorted(_addresses(vm.address, addresses_by_host)):
             fact = known.get(address)
             state = fact.state if fact else core.ServerState.READY.value
             if vm.state == LEAVING:
-                wanted = core.ServerState.DRAINING.value
+                new_state = core.ServerState.DRAINING.value
             elif vm.state == LIVE and fact and fact.source == SOURCE:
-                wanted = core.ServerState.READY.value
+                new_state = core.ServerState.READY.value
             else:
                 continue
-            if wanted != state:
-                news.append(ServerStatement(address=address, state=wanted))
-    return tuple(news)
+            if new_state != state:
+                changes.append(StateChange(address=address, state=new_state))
+    return tuple(changes)
 
 
-def _addresses(vm_address, by_host):
+def _addresses(vm_address, addresses_by_host):
     host, _, port = vm_address.partition(":")
-    found = by_host.get(host, set())
+    found = addresses_by_host.get(host, set())
     return found & {vm_address} if port else found
--- a/wigeonrouter/health/_vm_list_test.py
+++ b/wigeonrouter/health/_vm_list_test.py
@@ -1,4 +1,4 @@
-"""Guards against work for servers whose VM is leaving."""
+"""Guards against requests to servers whose VM is leaving."""
 
 import collections
 
@@ -49,7 +49,7 @@
             {"10.0.0.2:80": _Fact("draining", "vm-list")},
             [("10.0.0.2:80", "ready")],
         ),
-        # A lagging "live" must not take back an operator's drain.
+        # A stale "live" must not end an operator's drain.
         (
             "10.0.0.2",
             "live",
@@ -61,11 +61,13 @@
         ("10.0.0.2", "surprising", {}, []),
     ],
 )
-def test_the_list_is_believed_only_where_it_says_leaving(
+def test_vm_list_is_trusted_only_for_leaving_vms(
     address, state, known, expected
 ):
-    found = _vm_list.statements(
-        listing=_listing(address, state), by_host=_BY_HOST, known=known
+    found = _vm_list.state_changes(
+        listing=_listing(address, state),
+        addresses_by_host=_BY_HOST,
+        known=known,
     )
     assert [(s.address, s.state) for s in found] == expected
 
@@ -79,4 +81,6 @@
     service = core.EffectiveService(
         name="/s", match=core.MatchSettings(), servers=(server,)
     )
-    assert _vm_list.servers_by_host([service]) == {"10.0.0.1": {"10.0.0.1:80"}}
+    assert _vm_list.group_addresses_by_host([service]) == {
+        "10.0.0.1": {"10.0.0.1:80"}
+    }
--- a/wigeonrouter/request_path/_handler.py
+++ b/wigeonrouter/request_path/_handler.py
@@ -49,7 +49,7 @@
         own_member,
         claim_from_peer,
         observe,
-        announce=lambda address, leaving: None,
+        announce=lambda address, draining: None,
         rng=None,
         clock=time.monotonic,
         wall_clock=time.time,
