--- a/wigeonrouter/health/_rules.py
+++ b/wigeonrouter/health/_rules.py
@@ -60,7 +60,7 @@
     if attempt.report is not None:
         changes["report"] = attempt.report
     if attempt.outcome is core.Outcome.OK:
-        changes["answers"] = view.answers + 1
+        changes["responses"] = view.responses + 1
         changes["latency"] = (
             _ewma(view.latency, attempt.latency, _LATENCY_EWMA_WEIGHT)
             if view.latency
@@ -91,7 +91,7 @@
         return view
     if _is_outlier(view, attempt) and _may_eject(view, group, settings):
         return _eject_outlier(view, now)
-    if view.answers >= RESPONSES_TO_END_SLOW_START and (
+    if view.responses >= RESPONSES_TO_END_SLOW_START and (
         view.ejections or view.state is core.ServerState.COLD
     ):
         return dataclasses.replace(
@@ -116,7 +116,7 @@
     if view.state is core.ServerState.EJECTED and now >= view.ejected_until:
         if not view.refusals_in_row:
             return _enter_slow_start(view, now)
-        past_slow_start = view.answers >= RESPONSES_TO_END_SLOW_START
+        past_slow_start = view.responses >= RESPONSES_TO_END_SLOW_START
         state = (
             core.ServerState.READY
             if past_slow_start
@@ -153,7 +153,7 @@
     if view.state is core.ServerState.EJECTED and healthy:
         view = _enter_slow_start(view, now)
     if view.state is core.ServerState.COLD and healthy:
-        return dataclasses.replace(view, answers=view.answers + 1)
+        return dataclasses.replace(view, responses=view.responses + 1)
     return view
 
 
@@ -284,7 +284,7 @@
     return dataclasses.replace(
         view,
         state=core.ServerState.COLD,
-        answers=0,
+        responses=0,
         failures_in_row=0,
         refusals_in_row=0,
         failure_ratio=0.0,
@@ -297,7 +297,7 @@
     return (
         view.state is core.ServerState.COLD
         and view.ejections > 0
-        and not view.answers
+        and not view.responses
     )
 
 
