--- a/wigeonrouter/bench/_policy_run.py
+++ b/wigeonrouter/bench/_policy_run.py
@@ -305,7 +305,7 @@
             return
         again = request_path.may_retry(
             kind=self._daemon.run.kind,
-            refusal=core.Problem(problem=core.problems.REFUSED_BY_SERVER),
+            failure=core.Problem(problem=core.problems.REFUSED_BY_SERVER),
             attempt=self._attempts,
             max_attempts=self._daemon.service.retries.max_attempts,
             now=self._loop.now,
--- a/wigeonrouter/daemon/_daemon.py
+++ b/wigeonrouter/daemon/_daemon.py
@@ -80,7 +80,7 @@
             seeds=settings.seeds,
             replica=self._replica,
             rng=self._rng,
-            claims=self._answer_claim,
+            claims=self._handle_claim,
             tls=self._tls,
         )
         self._replication = membership.Replication(
@@ -367,8 +367,8 @@
             return None
         return self._gossip.claim(member=member, request_id=request_id)
 
-    def _answer_claim(self, request):
-        known = self._handler.ids.answer_claim(
+    def _handle_claim(self, request):
+        known = self._handler.deduplicator.handle_claim(
             request.request_id, request.claimant
         )
         return peer_pb2.ClaimReply(seen=known is not None, outcome=known or "")
--- a/wigeonrouter/http1/__init__.py
+++ b/wigeonrouter/http1/__init__.py
@@ -9,7 +9,7 @@
 from wigeonrouter.http1 import _server
 from wigeonrouter.http1 import _sockets
 
-CallerGone = _caller_connection.CallerGone
+CallerDisconnected = _caller_connection.CallerDisconnected
 CallerServer = _server.CallerServer
 Connection = _pool.Connection
 ConnectFailed = _pool.ConnectFailed
@@ -18,7 +18,7 @@
 HttpRequest = _messages.HttpRequest
 HttpResponse = _messages.HttpResponse
 MalformedMessage = _messages.MalformedMessage
-NotSent = _pool.NotSent
+RequestNotSent = _pool.RequestNotSent
 RequestReader = _request_reader.RequestReader
 ResponseReader = _response_reader.ResponseReader
 TaskSocket = _sockets.TaskSocket
--- a/wigeonrouter/http1/_caller_connection.py
+++ b/wigeonrouter/http1/_caller_connection.py
@@ -18,7 +18,7 @@
 _NEVER = float("inf")
 
 
-class CallerGone(gevent.GreenletExit):
+class CallerDisconnected(gevent.GreenletExit):
     """The caller closed its connection while its request was in progress."""
 
 
@@ -118,4 +118,4 @@
         self._sock.end_watch()
         if self._sock.has_ended() and self._task is not None:
             task, self._task = self._task, None
-            task.throw(CallerGone)
+            task.throw(CallerDisconnected)
--- a/wigeonrouter/http1/_pool.py
+++ b/wigeonrouter/http1/_pool.py
@@ -14,11 +14,11 @@
 MAX_IDLE_S = 4.0
 
 
-class NotSent(Exception):
+class RequestNotSent(Exception):
     """No byte of the request has left this daemon."""
 
 
-class ConnectFailed(NotSent):
+class ConnectFailed(RequestNotSent):
     """No connection could be made."""
 
 
@@ -62,7 +62,7 @@
         try:
             sent = self._sock.send_now(data)
         except OSError as error:
-            raise NotSent(str(error)) from error
+            raise RequestNotSent(str(error)) from error
         if sent < len(data):
             self._sock.send_rest(memoryview(data)[sent:])
 
@@ -164,7 +164,7 @@
             pool.release()
             raise
 
-    def put_back(self, address, connection):
+    def checkin(self, address, connection):
         """Return a connection whose answer was read whole."""
         connection.touch(self._clock())
         pool = self._pools[address]
@@ -176,7 +176,7 @@
         connection.close()
         self._pools[address].release()
 
-    def forget(self, address):
+    def close_idle_to(self, address):
         """Close the idle connections to a server that has gone."""
         pool = self._pools.get(address)
         if pool is not None:
--- a/wigeonrouter/http1/_render.py
+++ b/wigeonrouter/http1/_render.py
@@ -101,7 +101,7 @@
     return b"\r\n".join(lines) + body
 
 
-def problem_response(*, refusal, request_id, retry_budget=None):
+def problem_response(*, failure, request_id, retry_budget=None):
     """Return the RFC 9457 HttpResponse of a refusal.
 
     Args:
@@ -109,13 +109,13 @@
       request_id: text.
       retry_budget: the retries that levels above may still make, or None.
     """
-    problem = refusal.problem
+    problem = failure.problem
     body = json.dumps(
         {
             "type": f"urn:wigeonrouter:problem:{problem.name}",
             "title": problem.title,
             "status": problem.status,
-            "detail": refusal.detail,
+            "detail": failure.detail,
             "outcome": problem.outcome.value,
             "request_id": request_id,
         }
--- a/wigeonrouter/http1/_response_reader.py
+++ b/wigeonrouter/http1/_response_reader.py
@@ -38,10 +38,10 @@
         connection.
     """
 
-    def __init__(self, *, receive, max_bytes, until_end=False):
+    def __init__(self, *, receive, max_bytes, allow_close_delimited=False):
         self._receive = receive
         self._max_bytes = max_bytes
-        self._until_end = until_end
+        self._allow_close_delimited = allow_close_delimited
         self._rest = b""
         self._reusable = False
 
@@ -77,7 +77,7 @@
         if method == b"HEAD" or status in (204, 304):
             body, rest = b"", data
         elif length == 0 and b"content-length" not in fields:
-            if not self._until_end:
+            if not self._allow_close_delimited:
                 # The end of such a body cannot be told from a lost
                 # connection.
                 raise _MALFORMED(_INVALID, "response without a length")
--- a/wigeonrouter/http1/_server.py
+++ b/wigeonrouter/http1/_server.py
@@ -106,7 +106,7 @@
                     connection,
                     core.Problem(problem=core.problems.TOO_MANY_CONNECTIONS),
                 )
-        except (OSError, _caller_connection.CallerGone):
+        except (OSError, _caller_connection.CallerDisconnected):
             pass
         finally:
             self._connections.discard(connection)
@@ -174,8 +174,8 @@
         )
         return close
 
-    def _refuse(self, connection, refusal):
-        response = _render.problem_response(refusal=refusal, request_id="")
+    def _refuse(self, connection, failure):
+        response = _render.problem_response(failure=failure, request_id="")
         connection.send_last(
             _render.render_response(response=response, close=True, method=b"")
         )
--- a/wigeonrouter/node/_node.py
+++ b/wigeonrouter/node/_node.py
@@ -335,5 +335,5 @@
         }
         for instance, address in self._addresses.items():
             if addresses.get(instance) != address:
-                self._pool.forget(address)
+                self._pool.close_idle_to(address)
         self._addresses = addresses
--- a/wigeonrouter/node/_prober.py
+++ b/wigeonrouter/node/_prober.py
@@ -90,13 +90,13 @@
                 reusable = reader.reusable
         except (
             OSError,
-            http1.NotSent,
+            http1.RequestNotSent,
             http1.MalformedMessage,
         ):
             return None
         finally:
             if reusable:
-                self._pool.put_back(address, connection)
+                self._pool.checkin(address, connection)
             else:
                 self._pool.discard(address, connection)
         return self._read(registration, response, started)
--- a/wigeonrouter/node/_proxy.py
+++ b/wigeonrouter/node/_proxy.py
@@ -107,7 +107,7 @@
         try:
             balancer.budget.on_request(self._clock())
             result = self._run(call, balancer)
-        except http1.CallerGone:
+        except http1.CallerDisconnected:
             self._log(call, "caller-gone")
             self._metrics.left(
                 service=call.service,
--- a/wigeonrouter/node/_sender.py
+++ b/wigeonrouter/node/_sender.py
@@ -87,7 +87,7 @@
             return exchange.run(request, request_id, registration, give_up)
         finally:
             if exchange.reusable:
-                self._pool.put_back(registration.address, connection)
+                self._pool.checkin(registration.address, connection)
             else:
                 self._pool.discard(registration.address, connection)
 
@@ -118,7 +118,7 @@
             with gevent.Timeout(remaining, TimeoutError("no answer in time")):
                 self._connection.send(data)
                 return self._read(request, request_id)
-        except http1.NotSent as error:
+        except http1.RequestNotSent as error:
             return Attempt(
                 ended=placement.AttemptOutcome.UNREACHABLE,
                 may_have_run=False,
@@ -136,7 +136,7 @@
         reader = http1.ResponseReader(
             receive=self._connection.receive,
             max_bytes=MAX_RESPONSE_BYTES,
-            until_end=True,
+            allow_close_delimited=True,
         )
         stray = 0
         while True:
--- a/wigeonrouter/platform/_store.py
+++ b/wigeonrouter/platform/_store.py
@@ -124,7 +124,7 @@
 
     def close(self):
         """Close the connections that are not in use."""
-        self._pool.forget(self._address)
+        self._pool.close_idle_to(self._address)
 
     def _get(self, path, query, timeout):
         target = f"{path}?{parse.urlencode(query)}"
@@ -143,7 +143,7 @@
         except (
             OSError,
             ValueError,
-            http1.NotSent,
+            http1.RequestNotSent,
             http1.MalformedMessage,
         ) as error:
             raise store.StoreReplyLost(
@@ -168,7 +168,7 @@
             return response
         finally:
             if reusable:
-                self._pool.put_back(self._address, connection)
+                self._pool.checkin(self._address, connection)
             else:
                 # The connection may still bring bytes of a late answer.
                 self._pool.discard(self._address, connection)
--- a/wigeonrouter/request_path/__init__.py
+++ b/wigeonrouter/request_path/__init__.py
@@ -1,9 +1,9 @@
 """The path of a request in a daemon: forwarding, retries, request ids."""
 
 from wigeonrouter import http1
-from wigeonrouter.request_path import _decisions
 from wigeonrouter.request_path import _handler
 from wigeonrouter.request_path import _request_ids
+from wigeonrouter.request_path import _request_rules
 
 CallerServer = http1.CallerServer
 HttpRequest = http1.HttpRequest
@@ -13,5 +13,5 @@
 RequestReader = http1.RequestReader
 RequestRecord = _handler.RequestRecord
 
-may_retry = _decisions.may_retry
+may_retry = _request_rules.may_retry
 read_response = http1.read_response
--- a/wigeonrouter/request_path/_attempt.py
+++ b/wigeonrouter/request_path/_attempt.py
@@ -10,7 +10,7 @@
 from wigeonrouter.http1 import _pool
 from wigeonrouter.http1 import _render
 from wigeonrouter.http1 import _response_reader
-from wigeonrouter.request_path import _decisions
+from wigeonrouter.request_path import _request_rules
 
 
 class AttemptSender:
@@ -88,7 +88,7 @@
                     connection,
                     settings.max_response_bytes,
                 )
-            except _pool.NotSent as error:
+            except _pool.RequestNotSent as error:
                 forwarding.in_doubt = False
                 if fresh:
                     return core.Problem(
@@ -137,7 +137,7 @@
             return core.Problem(problem=error.problem, detail=str(error))
         finally:
             if reusable:
-                self._pool.put_back(address, connection)
+                self._pool.checkin(address, connection)
             else:
                 self._pool.discard(address, connection)
 
@@ -145,7 +145,7 @@
         text = answer.header(b"backend-load")
         if not text:
             return None
-        return _decisions.parse_load_report(
+        return _request_rules.parse_load_report(
             text=text.decode("latin-1"),
             now=self._clock(),
             own_in_flight=dispatcher.in_flight(grant.server.name) - 1,
--- a/wigeonrouter/request_path/_owned_ids.py
+++ b/wigeonrouter/request_path/_deduplicator.py
@@ -6,7 +6,7 @@
 _UNKNOWN = core.Outcome.UNKNOWN.value
 
 
-class OwnedIds:
+class Deduplicator:
     """Owns the request id table of this daemon."""
 
     def __init__(
@@ -41,9 +41,9 @@
             )
         parsed = _request_ids.parse_request_id(request_id)
         if parsed is not None:
-            refusal = self._check_owner(request_id, parsed)
-            if refusal is not None:
-                return refusal
+            failure = self._check_owner(request_id, parsed)
+            if failure is not None:
+                return failure
         # A repeat may have begun while the owner was asked.
         return self._table.begin(request_id)
 
@@ -51,7 +51,7 @@
         """Record how a request ended."""
         self._table.finish(request_id, outcome)
 
-    def check_not_run(self, request_id, refusal):
+    def check_not_run(self, request_id, failure):
         """Return a refusal that is true of all requests with an id.
 
         Args:
@@ -61,9 +61,9 @@
           A core.Problem; that of the first request with the id where that
           one may have run.
         """
-        return self._table.check(request_id) or refusal
+        return self._table.check(request_id) or failure
 
-    def answer_claim(self, request_id, claimant):
+    def handle_claim(self, request_id, claimant):
         """Hand an id that names this daemon over to another daemon.
 
         Returns:
@@ -73,27 +73,27 @@
         parsed = _request_ids.parse_request_id(request_id)
         if parsed is None or not self._is_own(parsed):
             return _UNKNOWN
-        refusal = _request_ids.check_age(
+        failure = _request_ids.check_age(
             time_ms=parsed.time_ms, now=self._wall_clock()
         )
-        if refusal is not None:
-            return refusal.problem.name
+        if failure is not None:
+            return failure.problem.name
         return self._table.claim(request_id, claimant)
 
     def _check_owner(self, request_id, parsed):
-        refusal = _request_ids.check_age(
+        failure = _request_ids.check_age(
             time_ms=parsed.time_ms, now=self._wall_clock()
         )
-        if refusal is not None:
-            return refusal
+        if failure is not None:
+            return failure
         if self._is_own(parsed):
             return None
         if parsed.daemon_id == self._own_member().daemon_id:
             # The daemon that remembered the id was replaced by this one.
             return core.Problem(problem=core.problems.ID_OWNER_UNREACHABLE)
-        refusal = self._table.check(request_id)
-        if refusal is not None:
-            return refusal
+        failure = self._table.check(request_id)
+        if failure is not None:
+            return failure
         reply = self._claim_from_peer(parsed, request_id)
         if reply is None:
             return core.Problem(problem=core.problems.ID_OWNER_UNREACHABLE)
--- a/wigeonrouter/request_path/_owned_ids_test.py
+++ b/wigeonrouter/request_path/_deduplicator_test.py
@@ -11,7 +11,7 @@
 import pytest
 
 from wigeonrouter import core
-from wigeonrouter.request_path import _owned_ids
+from wigeonrouter.request_path import _deduplicator
 from wigeonrouter.request_path import _request_ids
 from wigeonrouter.request_path.conftest import PathHarness
 from wigeonrouter.request_path.conftest import render
@@ -45,7 +45,7 @@
             instance=self.incarnation,
         )
         claimant = f"d{number}~{self.incarnation}"
-        self.ids[number] = _owned_ids.OwnedIds(
+        self.ids[number] = _deduplicator.Deduplicator(
             own_member=lambda: self.members[number],
             claim_from_peer=lambda parsed, request_id: self._claim(
                 int(parsed.daemon_id[1:]), request_id, claimant
@@ -63,7 +63,7 @@
     def _claim(self, owner, request_id, claimant):
         if self.links[owner] == "frozen":
             return None
-        state = self.ids[owner].answer_claim(request_id, claimant)
+        state = self.ids[owner].handle_claim(request_id, claimant)
         if self.links[owner] == "reply lost":
             return None
         return types.SimpleNamespace(
@@ -93,12 +93,12 @@
 
     @stateful.rule(request_id=request_ids, number=_daemon)
     def begin(self, request_id, number):
-        refusal = self.cluster.ids[number].begin(request_id)
-        if refusal is None:
+        failure = self.cluster.ids[number].begin(request_id)
+        if failure is None:
             assert request_id not in self.may_have_run
             assert request_id not in self.running
             self.running[request_id] = (number, self.cluster.ids[number])
-        elif refusal.problem.outcome is core.Outcome.NOT_RUN:
+        elif failure.problem.outcome is core.Outcome.NOT_RUN:
             assert request_id not in self.may_have_run
             assert request_id not in self.running
 
--- a/wigeonrouter/request_path/_forwarder.py
+++ b/wigeonrouter/request_path/_forwarder.py
@@ -7,8 +7,8 @@
 from wigeonrouter import limits
 from wigeonrouter.http1 import _messages
 from wigeonrouter.request_path import _attempt
-from wigeonrouter.request_path import _decisions
 from wigeonrouter.request_path import _hedging
+from wigeonrouter.request_path import _request_rules
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
@@ -77,8 +77,8 @@
         while True:
             grant = self._acquire(forwarding)
             if isinstance(grant, core.Problem):
-                return _decisions.final_refusal(
-                    refusal=grant, doubtful=doubtful
+                return _request_rules.final_refusal(
+                    failure=grant, doubtful=doubtful
                 )
             answer = self._send(forwarding, grant)
             if isinstance(answer, _messages.HttpResponse):
@@ -86,8 +86,8 @@
             if answer.problem.outcome is core.Outcome.UNKNOWN:
                 doubtful = answer
             if not self._may_retry(forwarding, answer):
-                return _decisions.final_refusal(
-                    refusal=answer, doubtful=doubtful
+                return _request_rules.final_refusal(
+                    failure=answer, doubtful=doubtful
                 )
 
     def _send(self, forwarding, grant):
@@ -124,12 +124,12 @@
             forwarding.excluded |= {grant.server.name}
         return grant
 
-    def _may_retry(self, forwarding, refusal):
+    def _may_retry(self, forwarding, failure):
         settings = forwarding.dispatcher.service.retries
         return (
-            _decisions.may_retry(
+            _request_rules.may_retry(
                 kind=forwarding.kind,
-                refusal=refusal,
+                failure=failure,
                 attempt=forwarding.attempts,
                 max_attempts=settings.max_attempts,
                 now=self._clock(),
--- a/wigeonrouter/request_path/_forwarder_test.py
+++ b/wigeonrouter/request_path/_forwarder_test.py
@@ -173,11 +173,11 @@
     def leave_at_the_second(**arguments):
         count.append(1)
         if len(count) == 2:
-            raise _caller_connection.CallerGone
+            raise _caller_connection.CallerDisconnected
         return checkout(**arguments)
 
     def fail(self, data):
-        raise _pool.NotSent("closed")
+        raise _pool.RequestNotSent("closed")
 
     with monkeypatch.context() as patch:
         patch.setattr(pool, "checkout", leave_at_the_second)
@@ -264,7 +264,7 @@
     )
     gevent.sleep(0)
     cancelled.kill()
-    pool.put_back(address, held[0])
+    pool.checkin(address, held[0])
     assert waiting.get(timeout=5) is held[0]
     handed = gevent.spawn(
         pool.checkout, address=address, limit=2, deadline=deadline
--- a/wigeonrouter/request_path/_handler.py
+++ b/wigeonrouter/request_path/_handler.py
@@ -16,9 +16,9 @@
 from wigeonrouter.http1 import _pool
 from wigeonrouter.http1 import _render
 from wigeonrouter.request_path import _attempt
-from wigeonrouter.request_path import _decisions
+from wigeonrouter.request_path import _deduplicator
 from wigeonrouter.request_path import _forwarder
-from wigeonrouter.request_path import _owned_ids
+from wigeonrouter.request_path import _request_rules
 
 # Tenant names become keys of queues and histograms.
 _MAX_TENANT_LENGTH = 100
@@ -62,7 +62,7 @@
         self._clock = clock
         self._pool = _pool.ConnectionPool(clock=clock)
         self._forwarder = _forwarder.Forwarder(pool=self._pool, clock=clock)
-        self._ids = _owned_ids.OwnedIds(
+        self._deduplicator = _deduplicator.Deduplicator(
             own_member=own_member,
             claim_from_peer=claim_from_peer,
             clock=clock,
@@ -80,9 +80,9 @@
         return self._dispatchers
 
     @property
-    def ids(self):
-        """The OwnedIds."""
-        return self._ids
+    def deduplicator(self):
+        """The Deduplicator of this daemon."""
+        return self._deduplicator
 
     @property
     def connections_in_use(self):
@@ -142,7 +142,7 @@
         )
         try:
             answer = self._run(call)
-        except _caller_connection.CallerGone:
+        except _caller_connection.CallerDisconnected:
             self._record(
                 call, core.problems.CALLER_GONE.name, core.Outcome.UNKNOWN
             )
@@ -185,7 +185,7 @@
                 problem=core.problems.BAD_REQUEST,
                 detail="X-Tenant is too long",
             )
-        timeout = _decisions.parse_timeout(
+        timeout = _request_rules.parse_timeout(
             text=call.request.header(b"x-request-timeout-ms").decode(
                 "latin-1"
             ),
@@ -210,9 +210,9 @@
         return self._forwarder.forward(call.forwarding)
 
     def _run_once(self, call):
-        refusal = self._ids.begin(call.request_id)
-        if refusal is not None:
-            return refusal
+        failure = self._deduplicator.begin(call.request_id)
+        if failure is not None:
+            return failure
         outcome = None
         try:
             answer = self._forwarder.forward(call.forwarding)
@@ -225,7 +225,7 @@
                 outcome = (
                     core.Outcome.UNKNOWN if in_doubt else core.Outcome.NOT_RUN
                 )
-            self._ids.finish(call.request_id, outcome)
+            self._deduplicator.finish(call.request_id, outcome)
 
     def _dispatcher(self, service):
         dispatcher = self._dispatchers.get(service.name)
@@ -247,13 +247,13 @@
     def _finish(self, call, answer):
         outcome = _outcome_of(answer)
         if outcome is core.Outcome.NOT_RUN:
-            answer = self._ids.check_not_run(call.request_id, answer)
+            answer = self._deduplicator.check_not_run(call.request_id, answer)
             outcome = _outcome_of(answer)
         problem = ""
         if isinstance(answer, core.Problem):
             problem = answer.problem.name
             answer = _render.problem_response(
-                refusal=answer,
+                failure=answer,
                 request_id=call.request_id,
                 retry_budget=(
                     call.forwarding.allowance if call.forwarding else None
--- a/wigeonrouter/request_path/_request_ids.py
+++ b/wigeonrouter/request_path/_request_ids.py
@@ -113,14 +113,14 @@
         Returns:
           None where the request may be forwarded, else a core.Problem.
         """
-        refusal = self.check(request_id)
-        if refusal is None and len(self._entries) >= self._max_ids:
-            refusal = core.Problem(problem=core.problems.ID_TABLE_FULL)
-        if refusal is None:
+        failure = self.check(request_id)
+        if failure is None and len(self._entries) >= self._max_ids:
+            failure = core.Problem(problem=core.problems.ID_TABLE_FULL)
+        if failure is None:
             self._entries[request_id] = _Entry(
                 started=self._clock(), state=IN_PROGRESS
             )
-        return refusal
+        return failure
 
     def finish(self, request_id, outcome):
         """Record how a request ended.
--- a/wigeonrouter/request_path/_decisions.py
+++ b/wigeonrouter/request_path/_request_rules.py
@@ -5,7 +5,7 @@
 from wigeonrouter import core
 
 
-def may_retry(*, kind, refusal, attempt, max_attempts, now, deadline):
+def may_retry(*, kind, failure, attempt, max_attempts, now, deadline):
     """Return whether a request may be sent to another server.
 
     Args:
@@ -21,12 +21,12 @@
     """
     if attempt >= max_attempts or now >= deadline:
         return False
-    if refusal.problem.outcome is core.Outcome.NOT_RUN:
+    if failure.problem.outcome is core.Outcome.NOT_RUN:
         return True
     return kind.idempotent
 
 
-def final_refusal(*, refusal, doubtful):
+def final_refusal(*, failure, doubtful):
     """Return the refusal that the caller gets.
 
     A refusal that says "not run" is true only where no earlier attempt is in
@@ -40,10 +40,10 @@
     """
     if (
         doubtful is not None
-        and refusal.problem.outcome is core.Outcome.NOT_RUN
+        and failure.problem.outcome is core.Outcome.NOT_RUN
     ):
         return doubtful
-    return refusal
+    return failure
 
 
 def parse_timeout(*, text, kind, limits):
