--- a/wigeonrouter/daemon/_daemon.py
+++ b/wigeonrouter/daemon/_daemon.py
@@ -80,7 +80,7 @@
             seeds=settings.seeds,
             replica=self._replica,
             rng=self._rng,
-            claims=self._answer_claim,
+            claims=self._handle_claim,
             tls=self._tls,
         )
         self._replication = membership.Replication(
@@ -103,10 +103,10 @@
             own_member=lambda: self._gossip.table.own,
             claim_from_peer=self._claim_from_peer,
             observe=self._observe,
-            announce=lambda *sign: self._signs.announce(*sign),
+            announce=lambda *sign: self._drain_tracker.announce(*sign),
             rng=self._rng,
         )
-        self._signs = health.ServerSigns(
+        self._drain_tracker = health.DrainTracker(
             gossip=self._gossip,
             store=self._store,
             replica=self._replica,
@@ -193,7 +193,7 @@
         self._tasks = [
             gevent.spawn(self._housekeep),
             gevent.spawn(self._prober.run),
-            gevent.spawn(self._signs.run),
+            gevent.spawn(self._drain_tracker.run),
         ]
         _log.info(
             "started",
@@ -367,8 +367,8 @@
             return None
         return self._gossip.claim(member=member, request_id=request_id)
 
-    def _answer_claim(self, request):
-        known = self._handler.ids.answer_claim(
+    def _handle_claim(self, request):
+        known = self._handler.deduplicator.handle_claim(
             request.request_id, request.claimant
         )
         return peer_pb2.ClaimReply(seen=known is not None, outcome=known or "")
