--- a/wigeonrouter/daemon/_daemon.py
+++ b/wigeonrouter/daemon/_daemon.py
@@ -122,7 +122,7 @@
             ),
             rng=self._rng,
         )
-        self._drain_tracker = health.ServerSigns(
+        self._drain_tracker = health.DrainTracker(
             gossip=self._gossip,
             store=self._store,
             replica=self._replica,
@@ -394,7 +394,7 @@
         return self._gossip.claim(member=member, request_id=request_id)
 
     def _handle_claim(self, request):
-        known_outcome = self._handler.ids.answer_claim(
+        known_outcome = self._handler.deduplicator.handle_claim(
             request.request_id, request.claimant
         )
         return peer_pb2.ClaimReply(
--- a/wigeonrouter/daemon/_drain_test.py
+++ b/wigeonrouter/daemon/_drain_test.py
@@ -26,6 +26,6 @@
     server = core.Address(host="127.0.0.1", port=7001)
     daemon.drain_server(address=server, draining=True, author="a")
     daemon.drain_server(address=server, draining=False, author="b")
-    # health.ServerSigns passes on the addresses of draining facts.
+    # health.DrainTracker passes on the addresses of draining facts.
     address = "127.0.0.1:7001"
     assert seen == [[(address, "draining")], [(address, "active")]]
--- a/wigeonrouter/observability/_logs.py
+++ b/wigeonrouter/observability/_logs.py
@@ -1,8 +1,8 @@
 """Log output as JSON or text, with a rate limit on request lines.
 
 The log contains values from callers, such as request ids and tenants. Both
-formats escape all control characters, so that a value can neither end a line nor
-inject a field, and truncate long values.
+formats escape all control characters, so that a value can neither end a line
+nor inject a field, and truncate long values.
 """
 
 import json
--- a/wigeonrouter/request_path/_attempt.py
+++ b/wigeonrouter/request_path/_attempt.py
@@ -10,7 +10,7 @@
 from wigeonrouter.http1 import _pool
 from wigeonrouter.http1 import _render
 from wigeonrouter.http1 import _response_reader
-from wigeonrouter.request_path import _decisions
+from wigeonrouter.request_path import _request_rules
 
 
 class AttemptSender:
@@ -44,9 +44,11 @@
                 outcome = outcome_of(answer)
                 if outcome is core.Outcome.NOT_RUN:
                     refused = True
-                    forwarding.allowance = limits.allowance_after(
-                        allowance=forwarding.allowance,
-                        text=answer.header(b"x-retry-budget"),
+                    forwarding.allowance = (
+                        limits.retry_allowance_after_rejection(
+                            allowance=forwarding.allowance,
+                            text=answer.header(b"x-retry-budget"),
+                        )
                     )
                     answer = core.Problem(
                         problem=core.problems.REFUSED_BY_SERVER
@@ -88,7 +90,7 @@
                     connection,
                     settings.max_response_bytes,
                 )
-            except _pool.NotSent as error:
+            except _pool.RequestNotSent as error:
                 forwarding.in_doubt = False
                 if fresh:
                     return core.Problem(
@@ -107,7 +109,7 @@
             data = _render.render_request(
                 request=forwarding.request,
                 timeout_ms=max(1, int(remaining * 1000)),
-                retry_budget=limits.allowance_below(
+                retry_budget=limits.downstream_retry_allowance(
                     allowance=forwarding.allowance,
                     attempt=forwarding.attempts,
                 ),
@@ -137,7 +139,7 @@
             return core.Problem(problem=error.problem, detail=str(error))
         finally:
             if reusable:
-                self._pool.put_back(address, connection)
+                self._pool.checkin(address, connection)
             else:
                 self._pool.discard(address, connection)
 
@@ -145,7 +147,7 @@
         text = answer.header(b"backend-load")
         if not text:
             return None
-        return _decisions.parse_load_report(
+        return _request_rules.parse_load_report(
             text=text.decode("latin-1"),
             now=self._clock(),
             own_in_flight=dispatcher.in_flight(grant.server.name) - 1,
