--- a/wigeonrouter/administration/_auth.py
+++ b/wigeonrouter/administration/_auth.py
@@ -45,6 +45,11 @@
     request would take milliseconds of a core that also serves callers, so the
     index follows the revisions of the replica and reads changed subtrees
     only.
+
+    Args:
+      replica: configuration.Replica.
+      bootstrap_sha256: hex digest of a token with the role admin on the
+        root; empty for none.
     """
 
     def __init__(self, *, replica, bootstrap_sha256):
@@ -70,6 +75,10 @@
         return self._identities.get(digest)
 
     def _update(self):
+        """Read the subtrees changed since the last update.
+
+        Reads the whole tree if the replica no longer has all entries since.
+        """
         if self._revision == self._replica.revision:
             return
         entries = None
@@ -86,12 +95,12 @@
 
     def _read_tokens(self, path):
         """Read the tokens at and below a path again."""
-        names_above = settings.split_path(path)
+        root_names = settings.split_path(path)
         for known in list(self._by_path):
-            if settings.split_path(known)[: len(names_above)] == names_above:
+            if settings.split_path(known)[: len(root_names)] == root_names:
                 del self._by_path[known]
         node = settings.find_node(root=self._replica.root, path=path)
-        pending = [] if node is None else [(names_above, node)]
+        pending = [] if node is None else [(root_names, node)]
         while pending:
             names, node = pending.pop()
             if node.HasField("settings") and node.settings.access:
--- a/wigeonrouter/administration/_changes.py
+++ b/wigeonrouter/administration/_changes.py
@@ -52,8 +52,10 @@
     items = decoded.unwrap()
     items = items.get("changes") if isinstance(items, dict) else None
     if not (isinstance(items, list) and 0 < len(items) <= MAX_CHANGES):
-        return _invalid(
-            "$.changes", "no list of changes", f"1 to {MAX_CHANGES} changes"
+        return _invalid_document(
+            "$.changes",
+            "not a list of changes, or of the wrong length",
+            f"1 to {MAX_CHANGES} changes",
         )
     changes, anchors = [], []
     for index, item in enumerate(items):
@@ -126,12 +128,14 @@
       Success((Anchor, Change)), or Failure(Problem).
     """
     if not isinstance(item, dict) or not isinstance(item.get("path"), str):
-        return _invalid(prefix, "no object with a path", "path and one action")
+        return _invalid_document(
+            prefix, "not an object with a path", "path and one action"
+        )
     actions = sorted(key for key in item if key != "path")
     if len(actions) != 1 or actions[0] not in _ACTIONS:
-        return _invalid(
+        return _invalid_document(
             prefix,
-            f"{len(actions)} further keys",
+            f"{len(actions)} keys besides path",
             "exactly one of " + ", ".join(_ACTIONS),
         )
     path = call.check_path(item["path"], f"{prefix}.path")
@@ -143,7 +147,7 @@
     )
     if name == "remove":
         if item["remove"] is not True:
-            return _invalid(f"{prefix}.remove", "not true", "true")
+            return _invalid_document(f"{prefix}.remove", "not true", "true")
         return result.Success(
             (anchor, settings_pb2.Change(path=path, remove=True))
         )
@@ -195,6 +199,6 @@
     )
 
 
-def _invalid(path, problem, allowed):
+def _invalid_document(path, problem, allowed):
     error = settings.DocumentError(path=path, problem=problem, allowed=allowed)
     return result.Failure(_registry.invalid_document((error,)))
--- a/wigeonrouter/administration/_write.py
+++ b/wigeonrouter/administration/_write.py
@@ -44,8 +44,8 @@
         return authorized
     if settings.find_node(root=call.context.replica.root, path=path) is None:
         # The node is also missing if this request repeats an accepted removal.
-        if call.context.replica.find_change(_change_id(call)) is None:
-            return _no_node(path)
+        if call.context.replica.find_change(_read_change_id(call)) is None:
+            return _node_not_found(path)
     return _propose(call, (settings_pb2.Change(path=path, remove=True),))
 
 
@@ -109,7 +109,7 @@
 @_registry.action(method="POST", target="/v1/drain")
 def drain(call):
     """Start or end draining a backend server."""
-    address = _address(call.req.get_param("address", required=True))
+    address = _parse_address(call.req.get_param("address", required=True))
     draining = call.req.get_param_as_bool("draining", default=True)
     services = [
         path
@@ -157,9 +157,11 @@
     Returns:
       Success(dict) with the revision, the change id and the daemons that
       acknowledged it, or Failure(Problem).
+    Raises:
+      falcon.HTTPInvalidParam: a query parameter is missing or invalid.
     """
     replica = call.context.replica
-    change_id = _change_id(call)
+    change_id = _read_change_id(call)
     comment = call.req.get_param("comment", default="")
     if len(comment) > MAX_COMMENT_CHARACTERS:
         raise falcon.HTTPInvalidParam(
@@ -258,7 +260,7 @@
     )
 
 
-def _change_id(call):
+def _read_change_id(call):
     change_id = call.req.get_param("change_id", required=True)
     if not _CHANGE_ID.fullmatch(change_id):
         raise falcon.HTTPInvalidParam(
@@ -267,7 +269,7 @@
     return change_id
 
 
-def _address(text):
+def _parse_address(text):
     if not settings.is_address(text):
         raise falcon.HTTPInvalidParam(
             "allowed: an IPv4 address and a port from 1 to 65535", "address"
@@ -275,7 +277,7 @@
     return core.parse_address(text)
 
 
-def _no_node(path):
+def _node_not_found(path):
     return result.Failure(
         _problems.Problem(
             problem=_problems.NO_NODE, detail=f"no node at {path}"
--- a/wigeonrouter/cli/main.py
+++ b/wigeonrouter/cli/main.py
@@ -31,7 +31,7 @@
         for server in servers:
             match = re.fullmatch(r"[A-Za-z0-9.-]+:([0-9]{1,5})", server)
             if not match or not 1 <= int(match[1]) <= 65535:
-                self.fail(f"{server!r} is no host and port", param, ctx)
+                self.fail(f"{server!r} is not a host and port", param, ctx)
         return servers
 
 
@@ -112,7 +112,9 @@
 def main(context, servers, token, output, timeout):
     """Operate wigeonrouter."""
     if not (token.isascii() and token.isprintable()):
-        raise click.BadParameter("no printable ASCII text", param_hint="token")
+        raise click.BadParameter(
+            "not printable ASCII text", param_hint="token"
+        )
     context.obj = _State(
         client=_client.Client(servers=servers, token=token, timeout=timeout),
         as_json=output == "json",
--- a/wigeonrouter/daemon/_daemon.py
+++ b/wigeonrouter/daemon/_daemon.py
@@ -330,6 +330,7 @@
         )
 
     def _become_ready(self):
+        """Open the port for callers and announce this daemon to peers."""
         if self._leaving:
             return
         self._caller_server.start()
@@ -357,10 +358,12 @@
             gevent.sleep(_DRAIN_POLL_INTERVAL_S)
 
     def _observe(self, record):
+        """Record a finished request in the metrics and the request log."""
         self._metrics.observe(record)
         self._request_log.add(record)
 
     def _housekeep(self):
+        """Run the periodic tasks until the greenlet is killed."""
         while True:
             gevent.sleep(_HOUSEKEEPING_INTERVAL_S)
             self._handler.close_idle_connections()
@@ -369,6 +372,7 @@
             self._log_member_changes()
 
     def _log_member_changes(self):
+        """Log the members whose state changed since the last call."""
         states = {
             member.daemon_id: (member.state.value, member.incarnation)
             for member in self.table.members
@@ -388,12 +392,18 @@
         self._member_states = states
 
     def _claim_from_peer(self, parsed, request_id):
+        """Claim a request id at the daemon that it names.
+
+        Returns:
+          The result of Gossip.claim, or None if the daemon is not a member.
+        """
         member = self.table.find(parsed.daemon_id)
         if member is None:
             return None
         return self._gossip.claim(member=member, request_id=request_id)
 
     def _handle_claim(self, request):
+        """Return the peer_pb2.ClaimReply to a peer's ClaimRequest."""
         known_outcome = self._handler.deduplicator.handle_claim(
             request.request_id, request.claimant
         )
--- a/wigeonrouter/daemon/_daemon_test.py
+++ b/wigeonrouter/daemon/_daemon_test.py
@@ -235,9 +235,9 @@
     """Guards against entry responses that name a daemon shutting down."""
     leaving = "entry-1"
     fleet.send_signal(leaving, signal.SIGTERM)
-    for asked in _DAEMONS:
-        _wait_for(lambda name=asked: leaving not in _entries(name))
-        assert len(_entries(asked, "/fast")) == 2
+    for queried in _DAEMONS:
+        _wait_for(lambda name=queried: leaving not in _entries(name))
+        assert len(_entries(queried, "/fast")) == 2
     # It still serves callers with a cached entry response.
     assert _Connection(leaving).post("/fast")
     assert _get_json(leaving, "/readyz") == {"ready": False}
--- a/wigeonrouter/daemon/_failures.py
+++ b/wigeonrouter/daemon/_failures.py
@@ -36,7 +36,9 @@
     try:
         yield
     except (OverflowError, socket.gaierror) as error:
-        raise StartFailed(f"{name}: {address} is no address") from error
+        raise StartFailed(
+            f"{name}: {address} is not a valid address"
+        ) from error
     except OSError as error:
         problem = os.strerror(error.errno) if error.errno else str(error)
         raise CannotListen(
--- a/wigeonrouter/settings/_checker.py
+++ b/wigeonrouter/settings/_checker.py
@@ -82,7 +82,7 @@
       Success(decoded value), or Failure(tuple of DocumentError).
     """
     if len(text) > MAX_DOCUMENT_BYTES:
-        return _failure(
+        return _document_failure(
             problem=f"document of {len(text)} bytes is too large",
             allowed=f"at most {MAX_DOCUMENT_BYTES} bytes",
         )
@@ -91,7 +91,7 @@
             text = text.decode()
         document = json.loads(text, object_pairs_hook=_unique_keys)
     except (ValueError, RecursionError) as error:
-        return _failure(
+        return _document_failure(
             problem=f"not readable as JSON: {error}",
             allowed="one JSON object in UTF-8 with unique keys",
         )
@@ -163,7 +163,7 @@
     """Ends the validation once MAX_ERRORS errors have been found."""
 
 
-def _failure(*, problem, allowed):
+def _document_failure(*, problem, allowed):
     return result.Failure(
         (DocumentError(path="$", problem=problem, allowed=allowed),)
     )
@@ -181,7 +181,7 @@
 def _check_message(value, message, path, errors, depth):
     if depth > MAX_DEPTH:
         _add_error(
-            errors, path, "nested too deep", f"at most {MAX_DEPTH} levels"
+            errors, path, "nested too deeply", f"at most {MAX_DEPTH} levels"
         )
         return
     if not isinstance(value, dict):
@@ -241,11 +241,11 @@
         if pattern and not re.fullmatch(pattern, key):
             shown = _truncate(repr(key))
             _add_error(
-                errors, path, f"bad name {shown}", f"names like {pattern}"
+                errors, path, f"invalid name {shown}", f"names like {pattern}"
             )
             continue
         if not _is_unicode(key):
-            _add_error(errors, path, "bad name", "valid Unicode text")
+            _add_error(errors, path, "invalid name", "valid Unicode text")
             continue
         if value_field.type == _Field.TYPE_MESSAGE:
             _check_single(
--- a/wigeonrouter/settings/_rules.py
+++ b/wigeonrouter/settings/_rules.py
@@ -79,7 +79,8 @@
             violations = [
                 _to_rule_error(error, path, origins) for error in violations
             ]
-        # Each node that inherits an invalid value reports it again.
+        # Drops duplicates: each node that inherits an invalid value reports
+        # it again.
         errors.update(((e.node, e.field), e) for e in violations)
         if len(errors) >= _checker.MAX_ERRORS:
             break
