--- a/wigeonrouter/dispatch/__init__.py
+++ b/wigeonrouter/dispatch/__init__.py
@@ -1,4 +1,4 @@
-"""Dispatch: routing of requests to services and granting of slots."""
+"""Routing of requests to services and assignment of slots of their servers."""
 
 from wigeonrouter.dispatch import _dispatcher
 from wigeonrouter.dispatch import _router
--- a/wigeonrouter/dispatch/_dispatcher.py
+++ b/wigeonrouter/dispatch/_dispatcher.py
@@ -1,4 +1,7 @@
-"""One dispatcher per service: grants slots and keeps waiting requests."""
+"""Assigns slots of the backend servers of one service to its requests.
+
+Requests that find no free slot are queued, fairly between tenants.
+"""
 
 import dataclasses
 import time
@@ -12,20 +15,32 @@
 from wigeonrouter import selection
 from wigeonrouter.dispatch import _server_table
 
-# Foreign load decays without any event of ours, so a queue is looked at
-# again after this time even when nothing was released.
+# The expected load of other daemons decays without an event in this process,
+# so a queue is checked again after this time even if no slot was released.
 _REDISPATCH_INTERVAL_S = 0.005
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class WaitingRequest:
-    """Stands for a request that waits in the queue."""
+    """A queued request; the argument of Dispatcher.cancel()."""
 
     entry: limits.QueueEntry
 
 
 class Dispatcher:
-    """Owns the backend views and the queue of one service."""
+    """Owns the backend views and the request queue of one service.
+
+    Args:
+      service: core.EffectiveService.
+      place: core.Place of this daemon.
+      rng: random.Random.
+      clock: returns seconds on the monotonic clock.
+      call_later: calls a function after some seconds.
+      slot_share: index of this daemon among those that divide the slots, and
+        their number.
+      announce: called with the address of a server and whether it is draining,
+        when that has changed.
+    """
 
     def __init__(
         self,
@@ -68,16 +83,16 @@
 
     @property
     def queue_length(self):
-        """Number of waiting requests."""
+        """Number of queued requests."""
         return len(self._queue)
 
     def in_flight(self, name):
-        """Return this daemon's requests at a server, 0 if unknown."""
+        """Return this daemon's requests at a server, 0 if it is unknown."""
         view = self._servers.find(name)
         return view.in_flight if view else 0
 
     def reconfigure(self, service):
-        """Take over new settings; views of remaining servers are kept."""
+        """Apply new settings; the views of servers that remain are kept."""
         self._service = service
         self._queue.set_weights(service.limits.tenant_weights)
         self._policy = selection.find_policy(service.routing.policy)
@@ -89,7 +104,7 @@
         self._dispatch_queued()
 
     def set_draining(self, addresses):
-        """Take over the addresses that are known to be leaving."""
+        """Apply the set of addresses of draining servers."""
         self._servers.set_draining(
             addresses=frozenset(addresses), now=self._clock()
         )
@@ -114,8 +129,8 @@
         try:
             return waiter.get(timeout=request.deadline - self._clock())
         except gevent.Timeout:
-            # set() only schedules the wake-up, so a grant may be there
-            # already when the timeout comes first.
+            # set() only schedules the wake-up of the waiter, so the grant may
+            # have been delivered before a timeout that fires first.
             if waiter.ready():
                 return waiter.value
             return core.Problem(problem=core.problems.DEADLINE_PASSED)
@@ -127,14 +142,14 @@
             self.cancel(result)
 
     def submit(self, request, deliver):
-        """Ask for a slot without waiting.
+        """Request a slot without blocking.
 
         Args:
           request: core.DispatchRequest.
-          deliver: called once with a core.Grant or core.Problem where the
-            request has to wait, unless withdraw() comes first.
+          deliver: called once with a core.Grant or core.Problem if the request
+            has to wait, unless cancel() comes first.
         Returns:
-          core.Grant, core.Problem, or the Ticket of a waiting request.
+          core.Grant, core.Problem, or a WaitingRequest if it was queued.
         """
         now = self._clock()
         result = self._try_immediately(request, now)
@@ -155,14 +170,16 @@
         wait = limits.expected_wait(
             ahead=self._queue.count_ahead(tenant=request.tenant, key=now),
             slots=self._servers.local_slots,
-            hold=self._hold_time,
+            hold_time=self._hold_time,
         )
         if self._should_spill_over(request, wait):
             grant = self._choose(request, now, self._remote_candidates())
             if grant is not None:
                 return grant
         if not limits.can_meet_deadline(
-            remaining=request.deadline - now, wait=wait, hold=self._hold_time
+            remaining=request.deadline - now,
+            wait=wait,
+            hold_time=self._hold_time,
         ):
             return core.Problem(problem=core.problems.DEADLINE_TOO_SHORT)
         if len(self._queue) >= self._service.limits.max_queue:
@@ -179,11 +196,16 @@
         return WaitingRequest(entry=entry)
 
     def cancel(self, ticket):
-        """Take a waiting request out of the queue; no effect afterwards."""
+        """Remove a request from the queue; no effect if it is not queued."""
         self._queue.remove(ticket.entry)
 
     def release(self, grant, attempt):
-        """Give a slot back and learn from how the attempt ended."""
+        """Release a slot and update the server from the result of the attempt.
+
+        Args:
+          grant: core.Grant.
+          attempt: core.AttemptResult.
+        """
         if grant.charged:
             self._queue.adjust_charge(
                 grant.tenant, attempt.latency - grant.charged
@@ -192,7 +214,7 @@
         if view is None or view.server.address != grant.server.address:
             self._dispatch_queued()
             return
-        before = view
+        previous = view
         view = core.evolve_view(view, in_flight=max(0, view.in_flight - 1))
         view = health.after_attempt(view=view, attempt=attempt)
         view = health.next_state(
@@ -218,11 +240,11 @@
             if limit != view.limit:
                 view = core.evolve_view(view, limit=limit)
         self._servers.update(view)
-        self._announce_change(before, view)
+        self._announce_change(previous, view)
         self._dispatch_queued()
 
     def on_probe(self, *, name, probe):
-        """Take over a health.ProbeResult."""
+        """Apply a health.ProbeResult to the view of a server."""
         view = self._servers.find(name)
         if view is None:
             return
@@ -232,7 +254,7 @@
         self._dispatch_queued()
 
     def advance(self):
-        """Let the states of servers follow the time."""
+        """Apply the state changes of servers that depend on time alone."""
         now = self._clock()
         changed = False
         for view in self._servers.views:
@@ -245,9 +267,9 @@
         if changed:
             self._dispatch_queued()
 
-    def _announce_change(self, before, after):
+    def _announce_change(self, previous, after):
         leaving = after.state is core.ServerState.DRAINING
-        if leaving != (before.state is core.ServerState.DRAINING):
+        if leaving != (previous.state is core.ServerState.DRAINING):
             self._announce(after.server.address, leaving)
 
     def _release_unused(self, grant):
@@ -268,18 +290,19 @@
             if not limits.can_meet_deadline(
                 remaining=request.deadline - now,
                 wait=0.0,
-                hold=self._hold_time,
+                hold_time=self._hold_time,
             ):
                 self._reject_queued(entry, core.problems.DEADLINE_TOO_SHORT)
                 continue
-            # Only what has waited for long is sent ahead to a full server;
-            # the request of a quiet tenant soon gets a free slot.
-            long_wait = now - entry.sort_key[0] >= self._hold_time.mean
+            # Only requests that have waited longer than the mean hold time are
+            # sent ahead to a full server; a request of a tenant with little
+            # traffic gets a free slot soon in any case.
+            waited_long = now - entry.sort_key[0] >= self._hold_time.mean
             grant = self._choose(
                 request,
                 now,
                 self._candidates(),
-                queue_length=len(self._queue) if long_wait else 0,
+                queue_length=len(self._queue) if waited_long else 0,
             )
             if grant is None:
                 self._schedule_dispatch()
@@ -323,16 +346,16 @@
     def _remote_candidates(self):
         if not self._remote_slots:
             return self._servers.eligible
-        found = []
+        selected = []
         for region, views in self._servers.remote.items():
-            taken = sum([view.in_flight for view in views])
-            allowance = limits.remote_request_limit(
+            in_flight = sum([view.in_flight for view in views])
+            request_limit = limits.remote_request_limit(
                 slots=self._remote_slots[region],
                 regions=len(self._remote_slots) + 1,
             )
-            if taken < allowance:
-                found.extend(views)
-        return tuple(found)
+            if in_flight < request_limit:
+                selected.extend(views)
+        return tuple(selected)
 
     def _choose(self, request, now, candidates, queue_length=0):
         views = candidates
--- a/wigeonrouter/dispatch/_dispatcher_test.py
+++ b/wigeonrouter/dispatch/_dispatcher_test.py
@@ -1,4 +1,4 @@
-"""Guards slots and waiters: no leak, no double grant, no lost waiter."""
+"""Guards slots and queued requests: no leak, no double grant, none lost."""
 
 import random
 
@@ -41,7 +41,7 @@
 
 
 class DispatcherMachine(stateful.RuleBasedStateMachine):
-    """Drives a Dispatcher over a fake clock."""
+    """Drives a Dispatcher on a simulated clock."""
 
     def __init__(self):
         super().__init__()
@@ -127,7 +127,7 @@
 
     @stateful.invariant()
     def slots_agree(self):
-        """Each grant holds one slot, each slot in use has one grant."""
+        """Each grant holds one slot; each slot in use belongs to one grant."""
         held = {}
         for grant in self.grants:
             held[grant.server.name] = held.get(grant.server.name, 0) + 1
@@ -140,7 +140,7 @@
         assert self.dispatcher.queue_length == len(self.waiting)
 
     def teardown(self):
-        """Whoever still waits gets an answer once the slots are free."""
+        """All queued requests get a result once all slots are released."""
         for view in self.dispatcher.views:
             held = sum(g.server.name == view.server.name for g in self.grants)
             assert view.in_flight <= held
@@ -168,7 +168,7 @@
 
 @pytest.fixture
 def dispatcher():
-    """A dispatcher with one server of 2 slots."""
+    """A dispatcher of one server with 2 slots."""
     return dispatch.Dispatcher(
         service=_service(local=1, remote=0),
         place=_NORTH,
@@ -187,8 +187,8 @@
 
 
 @pytest.mark.parametrize("killed_first", [True, False])
-def test_a_cancelled_waiter_gives_its_grant_back(dispatcher, killed_first):
-    """The grant may be set before or after the task is killed."""
+def test_a_killed_waiter_releases_its_grant(dispatcher, killed_first):
+    """The grant may be delivered before or after the task is killed."""
     held = [_acquire(dispatcher), _acquire(dispatcher)]
 
     def run():
@@ -214,10 +214,10 @@
     assert dispatcher.queue_length == 0
 
 
-def test_a_grant_that_comes_with_the_timeout_is_not_leaked(
+def test_a_grant_delivered_during_the_timeout_is_not_leaked(
     dispatcher, monkeypatch
 ):
-    """set() only schedules the wake-up, the timeout may be first."""
+    """set() only schedules the wake-up, so the timeout may fire first."""
     held = [_acquire(dispatcher), _acquire(dispatcher)]
 
     class LateWaiter:
--- a/wigeonrouter/dispatch/_router.py
+++ b/wigeonrouter/dispatch/_router.py
@@ -4,19 +4,19 @@
 
 from wigeonrouter import core
 
-# Requests that no kind covers may not be assumed to be idempotent.
+# Requests that match no kind must not be assumed to be idempotent.
 DEFAULT_KIND = core.TrafficKind(name="default", idempotent=False)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RoutingTable:
-    """Services by header, host and path prefix.
+    """Names of services by header, host and path prefix.
 
     Attributes:
       by_header: dict from the value of X-Service to a service name.
       by_host: dict from host to a service name.
-      by_prefix: tuple of (prefix, host or None, service name), longest
-        prefix first.
+      by_prefix: tuple of (prefix, host or None, service name), longest prefix
+        first.
     """
 
     by_header: dict
@@ -25,9 +25,9 @@
 
 
 def build_routing_table(services):
-    """Build the RoutingTable of a dict of core.EffectiveService.
+    """Build the RoutingTable from a dict of core.EffectiveService by name.
 
-    A service that names hosts and path prefixes gets the requests that fit
+    A service with both hosts and path prefixes gets the requests that match
     one of each.
     """
     by_header, by_host, by_prefix = {}, {}, []
@@ -40,18 +40,22 @@
             by_prefix.extend((prefix, host, name) for host in hosts)
         if not match.path_prefixes:
             by_host.update((host, name) for host in match.hosts)
-    by_prefix.sort(key=lambda row: (-len(row[0]), row[1] is None, row))
+    by_prefix.sort(key=lambda entry: (-len(entry[0]), entry[1] is None, entry))
     return RoutingTable(
         by_header=by_header, by_host=by_host, by_prefix=tuple(by_prefix)
     )
 
 
 def find_service(*, table, header, host, path):
-    """Return the name of the service for a request, or None."""
+    """Return the name of the service for a request, or None.
+
+    The header takes precedence; then the longest matching path prefix, where a
+    prefix with a host precedes one without; then the host.
+    """
     if header:
         return table.by_header.get(header)
-    for prefix, wanted_host, name in table.by_prefix:
-        if path.startswith(prefix) and wanted_host in (None, host):
+    for prefix, prefix_host, name in table.by_prefix:
+        if path.startswith(prefix) and prefix_host in (None, host):
             return name
     return table.by_host.get(host)
 
@@ -59,8 +63,8 @@
 def find_kind(*, service, method, path):
     """Return the core.TrafficKind of a request.
 
-    Of the kinds that cover the request the one with the longest path prefix
-    wins; a non-idempotent one wins a tie, since that is safe.
+    Of the matching kinds, the one with the longest path prefix wins. In a tie
+    the non-idempotent kind wins, because it is the safe choice.
     """
     best, best_rank = DEFAULT_KIND, (-1, False)
     for kind in service.kinds:
--- a/wigeonrouter/dispatch/_router_test.py
+++ b/wigeonrouter/dispatch/_router_test.py
@@ -1,4 +1,4 @@
-"""Guards against requests that reach another team's service."""
+"""Guards against requests that reach the service of another team."""
 
 import pytest
 
@@ -65,7 +65,7 @@
         ("POST", "/s/other", "default", False),
     ],
 )
-def test_an_uncovered_request_is_not_taken_for_idempotent(
+def test_a_request_without_a_kind_is_not_idempotent(
     method, path, expected, idempotent
 ):
     service = core.EffectiveService(
--- a/wigeonrouter/dispatch/_server_table.py
+++ b/wigeonrouter/dispatch/_server_table.py
@@ -1,8 +1,8 @@
-"""The backend views of one service, sorted by whether they may get work.
+"""The backend views of one service, grouped by eligibility and region.
 
 Each request changes one view twice. The table therefore replaces a view in
-place as long as its eligibility stays the same, and sorts all views anew
-only when a state, a server or the set of leaving servers has changed.
+place while its eligibility stays the same, and rebuilds the groups only after
+a change of a state, of the servers or of the set of draining servers.
 """
 
 import dataclasses
@@ -13,7 +13,11 @@
 
 
 class ServerTable:
-    """Owns the views of all configured servers of a service."""
+    """Owns the views of all configured servers of a service.
+
+    Args:
+      place: core.Place of this daemon.
+    """
 
     def __init__(self, *, place):
         self._place = place
@@ -38,12 +42,12 @@
 
     @property
     def eligible(self):
-        """Views of servers that may get work; readers must not modify it."""
+        """Views of servers that may get requests; must not be modified."""
         return self._eligible
 
     @property
     def local(self):
-        """Eligible views of the own region."""
+        """Eligible views of the daemon's own region."""
         return self._local
 
     @property
@@ -53,12 +57,12 @@
 
     @property
     def has_cold(self):
-        """Whether any eligible server is cold."""
+        """Whether any eligible server is in the state COLD."""
         return self._has_cold
 
     @property
     def local_slots(self):
-        """Number of requests that the local eligible servers may run."""
+        """Sum of the concurrency limits of the local eligible servers."""
         return self._local_slots
 
     def find(self, name):
@@ -66,7 +70,7 @@
         return self._views.get(name)
 
     def configure(self, *, servers, now):
-        """Take over a tuple of core.BackendServer; known views are kept."""
+        """Apply a tuple of core.BackendServer; known views are kept."""
         views = {}
         for server in servers:
             known = self._views.get(server.name)
@@ -81,7 +85,7 @@
         self._rebuild_groups()
 
     def set_draining(self, *, addresses, now):
-        """Take over the addresses that are known to be leaving."""
+        """Apply the set of addresses of draining servers."""
         returned = self._draining - addresses
         self._draining = addresses
         for name, view in self._views.items():
@@ -92,20 +96,20 @@
     def update(self, view):
         """Replace the view of a server."""
         name = view.server.name
-        before = self._views[name]
+        previous = self._views[name]
         self._views[name] = view
-        if before.state is not view.state:
+        if previous.state is not view.state:
             self._rebuild_groups()
             return
         position = self._positions.get(name)
         if position is None:
             return
-        in_eligible, group, in_group = position
-        self._eligible[in_eligible] = view
-        group[in_group] = view
-        if group is self._local and before.limit != view.limit:
+        eligible_index, group, group_index = position
+        self._eligible[eligible_index] = view
+        group[group_index] = view
+        if group is self._local and previous.limit != view.limit:
             self._local_slots += selection.concurrency_limit(view)
-            self._local_slots -= selection.concurrency_limit(before)
+            self._local_slots -= selection.concurrency_limit(previous)
 
     def _rebuild_groups(self):
         self._positions = {}
--- a/wigeonrouter/dispatch/_server_table_test.py
+++ b/wigeonrouter/dispatch/_server_table_test.py
@@ -1,4 +1,4 @@
-"""Guards against views that the table and its sorted groups disagree on."""
+"""Guards against groups that differ from the views they were built from."""
 
 import dataclasses
 
@@ -25,7 +25,7 @@
 
 
 class TableMachine(stateful.RuleBasedStateMachine):
-    """Compares the table with sorting everything anew."""
+    """Compares the table after each change with groups built from scratch."""
 
     def __init__(self):
         super().__init__()
