--- a/wigeonrouter/limits/__init__.py
+++ b/wigeonrouter/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits: fair queue, admission, spill-over, retry budget."""
+"""Limits: fair queue, admission control, spill-over and retry budget."""
 
 from wigeonrouter.limits import _admission
 from wigeonrouter.limits import _concurrency
--- a/wigeonrouter/limits/_admission.py
+++ b/wigeonrouter/limits/_admission.py
@@ -1,51 +1,56 @@
-"""Admission by deadline: pure functions over a frozen record."""
+"""Admission control by deadline: pure functions over a frozen record."""
 
 import dataclasses
 
-# A new value counts this much in the averages of HoldTime.
+# Weight of a new sample in the moving averages of HoldTime.
 _EWMA_WEIGHT = 0.02
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HoldTime:
-    """For how long a request holds a slot, travel included, in seconds.
+    """How long a request holds a slot, with network round trip, in seconds.
 
     Attributes:
-      mean: moving average.
-      deviation: moving average of the distance from the mean.
+      mean: exponentially weighted moving average.
+      deviation: moving average of the absolute deviation from the mean.
     """
 
     mean: float = 0.01
     deviation: float = 0.005
 
 
-def update_hold_time(hold, seconds):
-    """Return the HoldTime after one more answer."""
-    error = seconds - hold.mean
+def update_hold_time(hold_time, seconds):
+    """Return the HoldTime after one more response.
+
+    Args:
+      hold_time: HoldTime.
+      seconds: how long the request held its slot.
+    """
+    error = seconds - hold_time.mean
     return HoldTime(
-        mean=hold.mean + _EWMA_WEIGHT * error,
-        deviation=hold.deviation
-        + _EWMA_WEIGHT * (abs(error) - hold.deviation),
+        mean=hold_time.mean + _EWMA_WEIGHT * error,
+        deviation=hold_time.deviation
+        + _EWMA_WEIGHT * (abs(error) - hold_time.deviation),
     )
 
 
-def expected_wait(*, ahead, slots, hold):
-    """Return the seconds until a slot is free for a request.
+def expected_wait(*, ahead, slots, hold_time):
+    """Return the seconds until a request gets a free slot.
 
     Args:
-      ahead: requests that wait before it.
-      slots: slots in use by the queue.
-      hold: HoldTime.
+      ahead: number of queued requests that are served first.
+      slots: number of slots that serve the queue.
+      hold_time: HoldTime.
     """
-    return (ahead + 1) * hold.mean / max(1, slots)
+    return (ahead + 1) * hold_time.mean / max(1, slots)
 
 
-def can_meet_deadline(*, remaining, wait, hold):
-    """Return whether a request may still be answered in time.
+def can_meet_deadline(*, remaining, wait, hold_time):
+    """Return whether a response before the deadline is still expected.
 
     Args:
       remaining: seconds to its deadline.
       wait: seconds until it gets a slot.
-      hold: HoldTime.
+      hold_time: HoldTime.
     """
-    return remaining >= wait + hold.mean
+    return remaining >= wait + hold_time.mean
--- a/wigeonrouter/limits/_concurrency.py
+++ b/wigeonrouter/limits/_concurrency.py
@@ -1,21 +1,23 @@
-"""Adaptive concurrency of one backend server: a pure function."""
+"""Adaptive concurrency limit of one backend server: a pure function."""
 
-# A server this much slower than the service's mean gets fewer requests at
-# once. Half of that is normal scatter of an average over five answers.
+# A server whose latency exceeds the mean of the service by this factor gets a
+# lower limit. Half of that is the normal scatter of an average over five
+# responses.
 SLOW_LATENCY_RATIO = 2.0
 _LIMIT_DECREASE = 0.5
 _LIMIT_INCREASE = 0.1
 
 
 def next_concurrency_limit(*, limit, slots, latency, mean_latency, queued):
-    """Return the bound on a server's requests after one more answer.
+    """Return the concurrency limit of a server after one more response.
 
     Args:
-      limit: the bound before, a float.
+      limit: limit before the response, a float.
       slots: slots of the server.
-      latency: the server's average time to answer, seconds.
-      typical: the service's, seconds.
-      queued: whether requests wait; then each slot is needed, a slow one too.
+      latency: average response time of the server, seconds.
+      mean_latency: average response time of the service, seconds.
+      queued: whether requests are queued; then every slot is needed, even a
+        slow one.
     Returns:
       A float from 1 to slots.
     """
--- a/wigeonrouter/limits/_queue.py
+++ b/wigeonrouter/limits/_queue.py
@@ -1,15 +1,15 @@
-"""Queue of requests that wait for a free slot, fair between tenants."""
+"""Weighted fair queue of the requests that wait for a free slot."""
 
 import bisect
 import itertools
 
 DEFAULT_WEIGHT = 1.0
-# Tenants that wait for nothing are forgotten beyond this number.
+# Beyond this number, the state of tenants without queued requests is dropped.
 _MAX_IDLE_TENANTS = 64
 
 
 class QueueEntry:
-    """A waiting item; its attributes belong to the queue."""
+    """A queued item; its attributes are private to the queue."""
 
     __slots__ = ("tenant", "sort_key", "item", "queued")
 
@@ -23,10 +23,11 @@
 class FairQueue:
     """Serves tenants in proportion to their weights.
 
-    Within a tenant the lowest key comes first. Each tenant's virtual time
-    advances by cost / weight for each request served, and the tenant with
-    the smallest virtual time is next. A tenant that returns starts at the
-    virtual time of the one served last, so that idling earns no credit.
+    Within a tenant the lowest key comes first. The virtual time of a tenant
+    advances by cost / weight for each request that is served, and the tenant
+    with the smallest virtual time is next. A tenant that returns after an idle
+    time starts at the virtual time of the tenant served last, so that idle
+    time earns no credit.
     """
 
     def __init__(self, *, weights=()):
@@ -41,14 +42,18 @@
         return self._size
 
     def set_weights(self, weights):
-        """Take over new weights, pairs of tenant and weight."""
+        """Set the weights, pairs of tenant and weight."""
         self._weights = dict(weights)
 
     def push(self, *, tenant, key, item):
         """Add an item.
 
+        Args:
+          tenant: name of the tenant.
+          key: position within the tenant, lowest first.
+          item: any object.
         Returns:
-          A Handle for take() and remove().
+          A QueueEntry for dequeue() and remove().
         """
         if tenant not in self._queued:
             self._queued[tenant] = []
@@ -63,14 +68,14 @@
         return entry
 
     def peek(self):
-        """Return the handle that is next, or None."""
+        """Return the entry to be served next, or None."""
         if not self._queued:
             return None
         tenant = min(self._queued, key=self._virtual_times.__getitem__)
         return self._queued[tenant][0]
 
     def dequeue(self, entry, *, cost=1.0):
-        """Remove a handle as served and charge its tenant."""
+        """Remove an entry to be served and charge its cost to the tenant."""
         if not entry.queued:
             return
         tenant = entry.tenant
@@ -81,7 +86,7 @@
         self.remove(entry)
 
     def remove(self, entry):
-        """Remove a handle that will not be served; no charge."""
+        """Remove an entry that will not be served, without a charge."""
         if not entry.queued:
             return
         entry.queued = False
@@ -92,15 +97,15 @@
             del self._queued[entry.tenant]
             self._drop_idle_tenants()
         if not self._queued:
-            # Nobody was kept waiting, so nobody is owed anything.
+            # No request is waiting, so no tenant is behind its share.
             self._virtual_times.clear()
 
     def adjust_charge(self, tenant, difference):
-        """Correct a charge once the cost is known.
+        """Correct a charge once the actual cost is known.
 
         Args:
-          tenant: text.
-          difference: actual cost less the cost given to take().
+          tenant: name of the tenant.
+          difference: actual cost less the cost given to dequeue().
         """
         if tenant in self._virtual_times:
             self._virtual_times[tenant] += difference / self._weight(tenant)
@@ -108,27 +113,34 @@
     def count_ahead(self, *, tenant, key):
         """Return how many items would be served before a new one.
 
-        Later arrivals may still overtake it, so this is an estimate.
+        An estimate, since later arrivals may still be served earlier.
+
+        Args:
+          tenant: tenant of the new item.
+          key: key of the new item.
         """
-        own = self._queued.get(tenant, ())
-        before = bisect.bisect_right(own, key, key=_key)
-        weight, count = self._weight(tenant), before
+        own_entries = self._queued.get(tenant, ())
+        ahead_in_tenant = bisect.bisect_right(own_entries, key, key=_key)
+        weight, count = self._weight(tenant), ahead_in_tenant
         for other, queued in self._queued.items():
             if other != tenant:
-                share = (before + 1) * self._weight(other) / weight
+                share = (ahead_in_tenant + 1) * self._weight(other) / weight
                 count += min(len(queued), int(share))
         return count
 
     def find_evictable(self, tenant):
-        """Return whose place a new item of a tenant may take, or None.
+        """Return the entry that a new item of a tenant may evict, or None.
 
-        In a full queue each tenant is entitled to a share by weight. A
-        tenant below its share displaces the last item of the tenant that
-        exceeds its own by most.
+        In a full queue each tenant is entitled to a share by weight. For a
+        tenant below its share, this is the last entry of the tenant with the
+        most entries relative to its weight.
         """
         weights = {t: self._weight(t) for t in (*self._queued, tenant)}
-        unit = max(1, self._size) / sum(weights.values())
-        if len(self._queued.get(tenant, ())) + 1 > unit * weights[tenant]:
+        fair_share_per_weight = max(1, self._size) / sum(weights.values())
+        if (
+            len(self._queued.get(tenant, ())) + 1
+            > fair_share_per_weight * weights[tenant]
+        ):
             return None
         longest = max(
             self._queued,
@@ -146,9 +158,9 @@
         if len(self._virtual_times) - len(self._queued) <= _MAX_IDLE_TENANTS:
             return
         self._virtual_times = {
-            tenant: virtual
-            for tenant, virtual in self._virtual_times.items()
-            if tenant in self._queued or virtual > self._virtual_clock
+            tenant: virtual_time
+            for tenant, virtual_time in self._virtual_times.items()
+            if tenant in self._queued or virtual_time > self._virtual_clock
         }
 
 
--- a/wigeonrouter/limits/_queue_test.py
+++ b/wigeonrouter/limits/_queue_test.py
@@ -1,4 +1,4 @@
-"""Guards the fair queue: nothing lost, nothing twice, no tenant starved."""
+"""Guards the fair queue: no item lost or served twice, no tenant starved."""
 
 from hypothesis import settings
 from hypothesis import stateful
@@ -11,7 +11,7 @@
 
 
 class _NaiveQueue:
-    """Looks at every item for every answer."""
+    """Reference queue that scans all items for each result."""
 
     def __init__(self):
         self.items = []
@@ -26,7 +26,7 @@
         self.items.append((tenant, key, number))
 
     def next_items(self):
-        """Return all items that may be next: ties between tenants."""
+        """Return all items that may be next; several if tenants are tied."""
         if not self.items:
             return []
         low = min(self.virtual_times[item[0]] for item in self.items)
@@ -90,7 +90,7 @@
 
     @stateful.rule(tenant=_TENANTS)
     def displace(self, tenant):
-        """A tenant above its share must not displace another one."""
+        """A tenant above its share must not evict another tenant's item."""
         entry = self.queue.find_evictable(tenant)
         if entry is None:
             return
@@ -131,7 +131,7 @@
     return shares
 
 
-def test_a_noisy_tenant_does_not_delay_a_quiet_one():
+def test_a_busy_tenant_does_not_delay_a_quiet_one():
     queue = limits.FairQueue()
     for number in range(200):
         queue.push(tenant="noisy", key=number, item=None)
@@ -148,8 +148,8 @@
     assert _served(queue, 80) == {"a": 60, "b": 20}
 
 
-def test_long_requests_are_charged_for_their_time():
-    """Else a tenant with slow requests takes more than its share."""
+def test_tenants_are_charged_by_slot_time():
+    """Otherwise a tenant with slow requests gets more than its share."""
     queue = limits.FairQueue()
     for number in range(100):
         queue.push(tenant="slow", key=number, item=None)
@@ -164,8 +164,8 @@
     assert 70 <= served["fast"] and served["slow"] <= 9
 
 
-def test_idle_tenants_are_forgotten():
-    """Tenant names come from callers, so their number has no bound."""
+def test_state_of_idle_tenants_is_bounded():
+    """Callers choose tenant names, so their number is unbounded."""
     queue = limits.FairQueue()
     for number in range(5000):
         entry = queue.push(tenant=f"t{number}", key=number, item=None)
--- a/wigeonrouter/limits/_retry_budget.py
+++ b/wigeonrouter/limits/_retry_budget.py
@@ -1,30 +1,34 @@
-"""Bounds retries to a share of the requests and along the call tree.
+"""Limits retries to a ratio of the requests and along the call tree.
 
-A call may be 15 calls deep. If each level retried by itself, a failing leaf
-would be called max_attempts ** 15 times. The header X-Retry-Budget therefore
-carries the number of retries left for the whole tree: down with a request,
-and up with a refusal, so that levels above do not repeat what a level below
-has already repeated. A repeated attempt gives nothing down.
+A call tree may be 15 levels deep. If each level retried on its own, a failing
+leaf would be called max_attempts ** 15 times. The header X-Retry-Budget
+therefore carries the retry allowance of the whole tree: downstream with a
+request, and upstream with a rejection, so that upper levels do not repeat the
+retries of lower levels. A retry passes no allowance downstream.
 """
 
 # Lets a service with little traffic retry at all.
-_MIN_TOKENS = 3.0
+_INITIAL_TOKENS = 3.0
 _MAX_TOKENS = 100.0
 
 
 class RetryBudget:
-    """Token bucket that each request fills and each retry drains."""
+    """Token bucket that each request fills and each retry drains.
+
+    Args:
+      ratio: tokens per request; a retry costs one token.
+    """
 
     def __init__(self, *, ratio):
         self._ratio = ratio
-        self._tokens = _MIN_TOKENS
+        self._tokens = _INITIAL_TOKENS
 
     def on_request(self):
-        """Credit one first attempt."""
+        """Add the tokens of one first attempt."""
         self._tokens = min(_MAX_TOKENS, self._tokens + self._ratio)
 
     def try_spend(self):
-        """Take the cost of one retry; return whether it was there."""
+        """Spend the token of one retry; return whether there was one."""
         if self._ratio <= 0 or self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -35,21 +39,21 @@
     """Return how many retries a request may still cause.
 
     Args:
-      text: value of X-Retry-Budget, empty where the caller sent none.
-      max_attempts: bound on the attempts of one daemon.
+      text: value of X-Retry-Budget, empty if the caller sent none.
+      max_attempts: limit on the attempts of one daemon.
     Returns:
-      A whole number; 0 where the text is no number, which is safe.
+      A whole number; 0 if the text is not a number, which is the safe value.
     """
-    most = max(0, max_attempts - 1)
+    max_retries = max(0, max_attempts - 1)
     if not text:
-        return most
+        return max_retries
     if not (text.isascii() and text.isdigit()):
         return 0
-    return min(most, int(text[:6]))
+    return min(max_retries, int(text[:6]))
 
 
 def downstream_retry_allowance(*, allowance, attempt):
-    """Return what an attempt gives down, a whole number.
+    """Return the retry allowance that an attempt passes downstream.
 
     Args:
       allowance: retries left.
@@ -59,11 +63,11 @@
 
 
 def retry_allowance_after_rejection(*, allowance, text):
-    """Return the retries left after an attempt was refused.
+    """Return the retries left after an attempt was rejected.
 
     Args:
-      allowance: retries left before it.
-      text: value of X-Retry-Budget of the response, or empty.
+      allowance: retries left before the attempt.
+      text: value of X-Retry-Budget in the response, or empty.
     """
     if not text:
         return allowance
--- a/wigeonrouter/limits/_retry_budget_test.py
+++ b/wigeonrouter/limits/_retry_budget_test.py
@@ -27,8 +27,8 @@
     )
 
 
-def _call(depth, text, relays, count):
-    """Count the runs of a leaf that refuses each call."""
+def _call(depth, text, passes_header_up, count):
+    """Count the calls of a leaf that rejects each of them."""
     if depth == 0:
         count[0] += 1
         return "0"
@@ -36,40 +36,42 @@
     attempt = 0
     while True:
         attempt += 1
-        below = limits.downstream_retry_allowance(
+        downstream = limits.downstream_retry_allowance(
             allowance=allowance, attempt=attempt
         )
-        answer = _call(depth - 1, str(below), relays, count)
-        if relays and depth > 1:
+        response = _call(depth - 1, str(downstream), passes_header_up, count)
+        if passes_header_up and depth > 1:
             allowance = limits.retry_allowance_after_rejection(
-                allowance=allowance, text=answer
+                allowance=allowance, text=response
             )
         if allowance <= 0:
             return "0"
         allowance -= 1
 
 
-@pytest.mark.parametrize(("relays", "most"), [(True, 3), (False, 1 + 2 * 15)])
-def test_retries_do_not_multiply_over_15_levels(relays, most):
-    """Without the header a refusing leaf would run 3 ** 15 times."""
+@pytest.mark.parametrize(
+    ("passes_header_up", "max_runs"), [(True, 3), (False, 1 + 2 * 15)]
+)
+def test_retries_do_not_multiply_over_15_levels(passes_header_up, max_runs):
+    """Without the header a rejecting leaf would be called 3 ** 15 times."""
     count = [0]
-    _call(15, "", relays, count)
-    assert 1 < count[0] <= most
+    _call(15, "", passes_header_up, count)
+    assert 1 < count[0] <= max_runs
 
 
 def test_the_budget_allows_what_a_naive_count_allows():
-    """Differential: tokens against sums over the whole history."""
+    """Differential test: tokens against sums over the whole history."""
     rng = random.Random(5)
     budget = limits.RetryBudget(ratio=0.1)
-    requests = spent = 0
+    requests = retries = 0
     for _ in range(5000):
         if rng.random() < 0.8:
             budget.on_request()
             requests += 1
         elif budget.try_spend():
-            spent += 1
-        assert spent <= 3 + 0.1 * requests + 1e-6
-    assert spent >= 0.1 * requests
+            retries += 1
+        assert retries <= 3 + 0.1 * requests + 1e-6
+    assert retries >= 0.1 * requests
 
 
 def test_no_ratio_means_no_retry():
--- a/wigeonrouter/limits/_spill_over.py
+++ b/wigeonrouter/limits/_spill_over.py
@@ -1,10 +1,11 @@
-"""When requests may leave their region: pure functions."""
+"""Spill-over of requests to other regions: pure functions."""
 
-# Spill-over that has started goes on until the wait is this part of the
-# price. With one threshold for both it would flap at each burst.
+# Spill-over that has started continues until the expected wait falls below
+# this ratio of the price. A single threshold would make it flap with each
+# burst.
 STOP_PRICE_RATIO = 0.5
-# Largest part of another region's slots that strangers may take together.
-# A region that fails must not take the next one with it.
+# Largest share of the slots of a region that requests of all other regions
+# together may use. Otherwise a region that fails would overload the next one.
 MAX_REMOTE_SLOT_RATIO = 0.3
 
 
@@ -12,11 +13,9 @@
     """Return whether a request may be sent to another region.
 
     Args:
-      spilling: the answer for the request before.
+      spilling_over: the result for the previous request.
       expected_wait: seconds that this request would wait in its region.
-      price: seconds of waiting that leaving the region is worth.
-    Returns:
-      True or False.
+      price: seconds of waiting above which leaving the region pays off.
     """
     if spilling_over:
         return expected_wait > price * STOP_PRICE_RATIO
@@ -24,16 +23,16 @@
 
 
 def remote_request_limit(*, slots, regions):
-    """Return how many requests one region may have in another.
+    """Return how many requests in flight one region may have in another.
 
-    Requests on their way count as well. Counting slots in use alone gives
-    three times the spill-over and harms the other region's tenants more than
-    it helps; see docs/POLICY.md.
+    Requests on the network count as well. Counting only occupied slots triples
+    the spill-over and harms the other region's tenants more than it helps; see
+    docs/POLICY.md.
 
     Args:
       slots: slots of the other region's servers.
-      regions: number of regions that have servers of the service; all but
-        one share the allowance.
+      regions: number of regions with servers of the service; all but one of
+        them share the limit.
     Returns:
       A whole number, at least 1.
     """
@@ -43,8 +42,8 @@
 def count_remote_slots(*, servers, region):
     """Return a dict from each other region to its number of slots.
 
-    It is empty where the region has no server: then there is no spill-over,
-    since all servers are equally far from home.
+    The dict is empty if the region itself has no server. Then there is no
+    spill-over, since the servers of all regions are equally distant.
     """
     slots = {}
     for server in servers:
