--- a/wigeonrouter/selection/__init__.py
+++ b/wigeonrouter/selection/__init__.py
@@ -1,4 +1,4 @@
-"""Selection of backend servers: policies behind one registry."""
+"""Selection of backend servers: policies in a registry."""
 
 from wigeonrouter.selection import _comparison  # noqa: F401
 from wigeonrouter.selection import _free_slot  # noqa: F401
--- a/wigeonrouter/selection/_comparison.py
+++ b/wigeonrouter/selection/_comparison.py
@@ -1,7 +1,7 @@
 """Policies kept for comparison with free_slot: pure functions over views.
 
-Those that need to remember something return it as Choice.memory and find
-it as PolicyContext.memory at the next choice.
+A policy with state returns it as Choice.policy_state and gets it back as
+PolicyContext.policy_state at its next call.
 """
 
 import math
@@ -9,24 +9,25 @@
 from wigeonrouter.selection import _load
 from wigeonrouter.selection import _registry
 
-# hot_cold: part of the servers, by load, that counts as cold.
+# hot_cold: quantile of the loads below which a server counts as cold.
 _COLD_QUANTILE = 0.75
-# hot_cold: choices that one load report may serve, and its age limit.
-_REPORT_USES = 3
-_REPORT_AGE_S = 1.0
-# node_status: normalised load above which the current server is left.
-_STATUS_THRESHOLD = 0.5
+# hot_cold: number of choices that one load report is used for, and its maximum
+# age.
+_MAX_USES_PER_REPORT = 3
+_MAX_REPORT_AGE_S = 1.0
+# node_status: normalized load above which the current server is replaced.
+_MAX_NORMALIZED_LOAD = 0.5
 
 
 @_registry.policy("random")
 def choose_random(*, views, request, context):
-    """Choose any server; the floor for comparisons."""
+    """Choose any server at random; the lower bound for comparisons."""
     return _registry.Choice(server=context.rng.choice(views).server)
 
 
 @_registry.policy("round_robin")
 def choose_round_robin(*, views, request, context):
-    """Choose the servers in turn."""
+    """Choose the servers in rotation."""
     return _registry.Choice(server=views[context.sequence % len(views)].server)
 
 
@@ -38,7 +39,7 @@
 
 @_registry.policy("two_choices")
 def choose_two_choices(*, views, request, context):
-    """Draw two servers and choose by this daemon's requests."""
+    """Sample two servers and choose by this daemon's requests in flight."""
     return _choose_lowest(
         _sample(views, 2, context), context, lambda view: view.in_flight
     )
@@ -46,7 +47,7 @@
 
 @_registry.policy("two_choices_reported")
 def choose_two_choices_reported(*, views, request, context):
-    """Draw two servers and choose by this daemon's requests and reports."""
+    """Sample two servers and choose by this daemon's requests and reports."""
     return _choose_lowest(
         _sample(views, 2, context),
         context,
@@ -56,18 +57,19 @@
 
 @_registry.policy("hot_cold")
 def choose_hot_cold(*, views, request, context):
-    """Choose the fastest cold server, or the least loaded where all are hot.
+    """Choose the fastest cold server, or the least loaded if all are hot.
 
-    A server is hot when its requests in flight reach a quantile of those of
-    all servers. A load report stands for a probe and is used a few times.
+    A server is hot if its requests in flight reach a quantile of those of all
+    servers. Load reports stand in for probes; each is used a limited number of
+    times.
     """
-    uses = context.policy_state or {}
+    report_uses = context.policy_state or {}
     pool = [
         view
         for view in views
         if view.report is not None
-        and context.now - view.report.received <= _REPORT_AGE_S
-        and _report_uses(uses, view) < _REPORT_USES
+        and context.now - view.report.received <= _MAX_REPORT_AGE_S
+        and _report_uses(report_uses, view) < _MAX_USES_PER_REPORT
     ]
     if len(pool) < 2:
         server = context.rng.choice(views).server
@@ -87,17 +89,18 @@
             ).server
     chosen = next(v for v in views if v.server.name == server.name)
     received = chosen.report.received if chosen.report else None
-    count = _report_uses(uses, chosen) + 1
+    count = _report_uses(report_uses, chosen) + 1
     return _registry.Choice(
-        server=server, policy_state={**uses, server.name: (received, count)}
+        server=server,
+        policy_state={**report_uses, server.name: (received, count)},
     )
 
 
 @_registry.policy("idle_queue")
 def choose_idle_queue(*, views, request, context):
-    """Choose the server that has reported itself idle for longest.
+    """Choose the idle server with the oldest load report.
 
-    A report of an idle slot is good for one request; without one the
+    A report of an idle slot is used for one request. Without such a report the
     choice is random.
     """
     idle = [
@@ -117,22 +120,22 @@
 def choose_slot_shares(*, views, request, context):
     """Use only this daemon's fixed share of the slots, else wait.
 
-    Slots are dealt to the daemons of the region in turn. A daemon that gets
-    none falls back to a random server.
+    The slots are dealt in rotation to the daemons of the region. A daemon
+    without a slot uses random servers.
     """
     index, count = context.slot_share
-    number, owns, best = 0, False, None
+    slot, has_share, best = 0, False, None
     for view in views:
         share = 0
         for _ in range(view.server.slots):
-            share += number % count == index
-            number += 1
-        owns = owns or share > 0
+            share += slot % count == index
+            slot += 1
+        has_share = has_share or share > 0
         if view.in_flight < share and (
             best is None or view.in_flight < best.in_flight
         ):
             best = view
-    if not owns:
+    if not has_share:
         return choose_random(views=views, request=request, context=context)
     if best is None:
         return _registry.Wait()
@@ -141,10 +144,10 @@
 
 @_registry.policy("node_status")
 def choose_node_status(*, views, request, context):
-    """Stay with a server until its normalised load exceeds a threshold.
+    """Keep a server until its normalized load exceeds a threshold.
 
-    The load is the count of current communications, min-max normalised
-    over the servers. Only then the least loaded server is taken.
+    The load is the number of requests at a server, min-max normalized over all
+    servers. Above the threshold the least loaded server is chosen.
     """
     loads = {
         v.server.name: _load.expected_busy_slots(v, context.now) for v in views
@@ -152,8 +155,8 @@
     low, high = min(loads.values()), max(loads.values())
     current = context.policy_state
     if current in loads and high > low:
-        status = (loads[current] - low) / (high - low)
-        if status <= _STATUS_THRESHOLD:
+        normalized_load = (loads[current] - low) / (high - low)
+        if normalized_load <= _MAX_NORMALIZED_LOAD:
             server = next(v.server for v in views if v.server.name == current)
             return _registry.Choice(server=server, policy_state=current)
     choice = _choose_lowest(views, context, lambda v: loads[v.server.name])
@@ -162,8 +165,8 @@
     )
 
 
-def _report_uses(uses, view):
-    received, count = uses.get(view.server.name, (None, 0))
+def _report_uses(report_uses, view):
+    received, count = report_uses.get(view.server.name, (None, 0))
     known = view.report.received if view.report else None
     return count if received == known else 0
 
--- a/wigeonrouter/selection/_free_slot.py
+++ b/wigeonrouter/selection/_free_slot.py
@@ -3,17 +3,18 @@
 from wigeonrouter.selection import _load
 from wigeonrouter.selection import _registry
 
-# Requests in the queue per server from which on one request is sent ahead to
-# a server in another failure domain. It starts while the answer before it is
-# still on its way; without it such slots idle for a round-trip time.
+# Queue length per server from which one request more than it has slots is sent
+# to a server in another failure domain. That request starts while the response
+# to the one before is still on the network; otherwise the slot would idle for
+# a round-trip time.
 SEND_AHEAD_QUEUE_PER_SERVER = 2
 
 
 @_registry.policy("free_slot")
 def choose_free_slot(*, views, request, context):
-    """Choose the cheapest server with a free slot, else wait.
+    """Choose the server with the lowest price and a free slot, else wait.
 
-    Ties are broken at random by starting at a random server.
+    The search starts at a random server, which breaks ties at random.
     """
     views = _load.without_backed_off(views, context.now)
     count = len(views)
@@ -23,7 +24,8 @@
     best, best_price, best_load = None, 0.0, 0
     for position in range(start, start + count):
         view = views[position - count if position >= count else position]
-        # Most of a busy service's servers are full by our own count alone.
+        # Under load this daemon's own requests alone fill most servers, so
+        # this cheap check comes first.
         if view.in_flight >= view.server.slots and not send_ahead:
             continue
         price = view.latency * weight + _load.locality_price(
@@ -47,6 +49,6 @@
 def _request_limit(view, context, send_ahead):
     limit = _load.concurrency_limit(view)
     if send_ahead and view.server.place != context.place:
-        # A server that does not use all its slots has no queue to fill.
+        # A server below its slots has no queue that a request could wait in.
         return limit + (limit >= view.server.slots)
     return limit
--- a/wigeonrouter/selection/_load.py
+++ b/wigeonrouter/selection/_load.py
@@ -1,38 +1,43 @@
-"""Load and price of a backend server as one daemon sees it."""
+"""Load and price of a backend server as seen by one daemon."""
 
 from wigeonrouter import core
 
-# A report says less about the present the older it is. Foreign load halves
-# in this part of the server's own time to answer: by then half of the
-# requests that the report counted have ended.
+# The older a load report, the less it says about the current load. The
+# reported load of other daemons is halved after this multiple of the server's
+# average response time, when half of the requests in the report have
+# completed.
 FOREIGN_LOAD_HALF_LIFE_RATIO = 0.7
-# Taken for the time to answer until the first answer.
+# Assumed response time before the first response.
 _INITIAL_LATENCY_S = 0.01
-# A server that refuses or fails at once always looks idle. It is passed over
-# for this time, which doubles with each failure in a row.
+# A server that rejects or fails at once always looks idle. It is skipped for
+# this time, which doubles with each consecutive failure.
 FIRST_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 _MAX_DOUBLINGS = 5
 
 
 def is_backed_off(view, now):
-    """Return whether a server is passed over after failures in a row.
+    """Return whether a server is skipped after consecutive failures.
 
-    One failed answer may be the request's fault; a refusal is the server's.
+    A single failed response may be due to the request and is ignored; a
+    rejection is always due to the server.
     """
-    consecutive = max(view.refusals_in_row, view.failures_in_row - 1)
-    if consecutive <= 0:
+    consecutive_failures = max(view.refusals_in_row, view.failures_in_row - 1)
+    if consecutive_failures <= 0:
         return False
-    backoff = FIRST_BACKOFF_S * 2 ** min(consecutive - 1, _MAX_DOUBLINGS)
+    backoff = FIRST_BACKOFF_S * 2 ** min(
+        consecutive_failures - 1, _MAX_DOUBLINGS
+    )
     return now - view.last_used < min(MAX_BACKOFF_S, backoff)
 
 
 def without_backed_off(views, now):
-    """Return the views that are not passed over; all where none is left."""
+    """Return the views that are not skipped, or all if none is left."""
     usable = [
         view
         for view in views
-        # Most servers have no failure in a row, and this runs per request.
+        # This runs for each request, and most servers have no consecutive
+        # failure.
         if not (view.refusals_in_row or view.failures_in_row)
         or not is_backed_off(view, now)
     ]
@@ -49,7 +54,8 @@
 def expected_busy_slots(view, now):
     """Return the expected number of busy slots of a server, a float.
 
-    Less than half a request of others counts as none.
+    The reported load of other daemons decays with the age of the report. Less
+    than half a request of theirs counts as none.
     """
     report = view.report
     if report is None or report.in_flight <= report.own_in_flight:
@@ -62,7 +68,10 @@
 
 
 def locality_price(view, request, context):
-    """Return the price of leaving the own place, ms-equivalents."""
+    """Return the price of leaving the own failure domain, in milliseconds.
+
+    The price is the number of milliseconds of latency that it is worth.
+    """
     place, routing = view.server.place, context.routing
     if place.region != context.place.region:
         return region_price(request, routing)
@@ -72,7 +81,10 @@
 
 
 def region_price(request, routing):
-    """Return the price of leaving the region, ms-equivalents."""
+    """Return the price of leaving the own region, in milliseconds.
+
+    It grows with the size of the request body.
+    """
     kilobytes = request.body_bytes / 1024
     return (
         routing.price_region_ms
--- a/wigeonrouter/selection/_policies_test.py
+++ b/wigeonrouter/selection/_policies_test.py
@@ -1,4 +1,4 @@
-"""Guards the policies: each rule as a table, and what may never happen."""
+"""Guards the policies: a table of cases for each rule, and invariants."""
 
 import dataclasses
 import random
@@ -11,13 +11,13 @@
 from wigeonrouter import core
 from wigeonrouter import selection
 
-_HERE = core.Place(region="r", failure_domain="a")
-_NEAR = core.Place(region="r", failure_domain="b")
+_OWN_DOMAIN = core.Place(region="r", failure_domain="a")
+_OWN_REGION = core.Place(region="r", failure_domain="b")
 _KIND = core.TrafficKind(name="k", idempotent=True)
 _REQUEST = core.DispatchRequest(kind=_KIND, tenant="t", deadline=100.0)
 
 
-def _view(name, *, place=_HERE, reported=None, received=10.0, **fields):
+def _view(name, *, place=_OWN_DOMAIN, reported=None, received=10.0, **fields):
     report = None
     if reported is not None:
         report = core.LoadReport(
@@ -43,7 +43,7 @@
         views=tuple(views),
         request=_REQUEST,
         context=selection.PolicyContext(
-            place=_HERE,
+            place=_OWN_DOMAIN,
             routing=core.RoutingSettings(),
             now=10.0,
             rng=random.Random(seed),
@@ -67,7 +67,7 @@
         ),
         ("free_slot", [_view("a", reported=2), _view("b")], {}, "b"),
         ("free_slot", [_view("a", reported=2, received=9.0)], {}, "a"),
-        ("free_slot", [_view("a", place=_NEAR), _view("b")], {}, "b"),
+        ("free_slot", [_view("a", place=_OWN_REGION), _view("b")], {}, "b"),
         ("free_slot", [_view("a", limit=1.5, in_flight=1)], {}, None),
         (
             "free_slot",
@@ -92,7 +92,7 @@
         ),
         (
             "free_slot",
-            [_view("a", place=_NEAR, in_flight=2)],
+            [_view("a", place=_OWN_REGION, in_flight=2)],
             {"queue_length": 2},
             "a",
         ),
@@ -170,7 +170,7 @@
     strategies.builds(
         _view,
         strategies.just("s"),
-        place=strategies.sampled_from((_HERE, _NEAR)),
+        place=strategies.sampled_from((_OWN_DOMAIN, _OWN_REGION)),
         reported=strategies.sampled_from((None, 0, 2, 10**9)),
         in_flight=strategies.integers(0, 3),
         latency=strategies.sampled_from((0.0, 0.01)),
@@ -187,7 +187,7 @@
 @settings(max_examples=150, deadline=None, derandomize=True)
 @given(views=_VIEWS, seed=strategies.integers(0, 9))
 def test_no_policy_fails_and_free_slot_never_overfills(views, seed):
-    """Stale, absent and absurd load reports must not break a choice."""
+    """Outdated, missing and extreme load reports must not break a choice."""
     views = [
         dataclasses.replace(
             view, server=dataclasses.replace(view.server, name=f"s{number}")
--- a/wigeonrouter/selection/_registry.py
+++ b/wigeonrouter/selection/_registry.py
@@ -10,8 +10,8 @@
     """The policy chose a backend server.
 
     Attributes:
-      memory: what the policy finds as PolicyContext.memory next time; never
-        changed in place.
+      policy_state: passed to the next call as PolicyContext.policy_state; must
+        not be modified.
     """
 
     server: core.BackendServer
@@ -20,22 +20,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Wait:
-    """No server should get the request now; it waits in the queue."""
+    """No server should get the request now; it stays in the queue."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PolicyContext:
-    """What a policy may use besides the views.
+    """Inputs of a policy besides the views and the request.
 
     Attributes:
-      place: where this daemon runs.
+      place: core.Place of this daemon.
       routing: core.RoutingSettings of the service.
       now: seconds on the monotonic clock.
       rng: random.Random.
       sequence: number of this choice, counted by the dispatcher.
-      waiting: requests in the daemon's queue.
-      memory: memory of the last Choice, None at first.
-      share: this daemon's index among the daemons that divide the slots,
+      queue_length: number of requests in the daemon's queue.
+      policy_state: policy_state of the last Choice, None at first.
+      slot_share: this daemon's index among the daemons that divide the slots,
         and their number.
     """
 
@@ -53,10 +53,11 @@
 
 
 def policy(name):
-    """Register the decorated function as a policy.
+    """Register the decorated function as the policy with a name.
 
-    A policy is called as choose(views=, request=, context=) with a non-empty
-    tuple of core.BackendView that may get work, and returns Choice or Wait.
+    A policy is called as choose(views=, request=, context=), where views is a
+    non-empty tuple of core.BackendView of eligible servers. It returns Choice
+    or Wait.
     """
 
     def register(function):
@@ -72,5 +73,5 @@
 
 
 def policy_names():
-    """Return the registered names, ordered."""
+    """Return the names of all policies, sorted."""
     return tuple(sorted(_POLICIES))
