--- a/wigeonrouter/bench/_policy_run.py
+++ b/wigeonrouter/bench/_policy_run.py
@@ -267,7 +267,7 @@
     def _expire(self, ticket):
         if self._ticket is ticket:
             self._ticket = None
-            self._daemon.dispatcher.cancel(ticket)
+            self._daemon.dispatcher.cancel_waiting(ticket)
             self._end("refused")
 
     def _delivered(self, result):
--- a/wigeonrouter/dispatch/_dispatcher.py
+++ b/wigeonrouter/dispatch/_dispatcher.py
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class WaitingRequest:
-    """A queued request; the argument of Dispatcher.cancel()."""
+    """A queued request; the argument of Dispatcher.cancel_waiting()."""
 
     entry: limits.QueueEntry
 
@@ -139,7 +139,7 @@
                 self._release_unused(waiter.value)
             raise
         finally:
-            self.cancel(result)
+            self.cancel_waiting(result)
 
     def submit(self, request, deliver):
         """Request a slot without blocking.
@@ -147,7 +147,7 @@
         Args:
           request: core.DispatchRequest.
           deliver: called once with a core.Grant or core.Problem if the request
-            has to wait, unless cancel() comes first.
+            has to wait, unless cancel_waiting() comes first.
         Returns:
           core.Grant, core.Problem, or a WaitingRequest if it was queued.
         """
@@ -195,7 +195,7 @@
         self._schedule_dispatch()
         return WaitingRequest(entry=entry)
 
-    def cancel(self, ticket):
+    def cancel_waiting(self, ticket):
         """Remove a request from the queue; no effect if it is not queued."""
         self._queue.remove(ticket.entry)
 
@@ -348,12 +348,12 @@
             return self._servers.eligible
         selected = []
         for region, views in self._servers.remote.items():
-            in_flight = sum([view.in_flight for view in views])
+            total_in_flight = sum([view.in_flight for view in views])
             request_limit = limits.remote_request_limit(
                 slots=self._remote_slots[region],
                 regions=len(self._remote_slots) + 1,
             )
-            if in_flight < request_limit:
+            if total_in_flight < request_limit:
                 selected.extend(views)
         return tuple(selected)
 
--- a/wigeonrouter/dispatch/_dispatcher_test.py
+++ b/wigeonrouter/dispatch/_dispatcher_test.py
@@ -113,9 +113,9 @@
 
     @stateful.precondition(lambda self: self.waiting)
     @stateful.rule(data=strategies.data())
-    def cancel(self, data):
+    def cancel_waiting(self, data):
         number = data.draw(strategies.sampled_from(sorted(self.waiting)))
-        self.dispatcher.cancel(self.waiting.pop(number))
+        self.dispatcher.cancel_waiting(self.waiting.pop(number))
 
     @stateful.rule(seconds=strategies.sampled_from((0.001, 0.02, 0.5)))
     def wait(self, seconds):
