--- a/wigeonrouter/http1/_readers_fuzz_test.py
+++ b/wigeonrouter/http1/_readers_fuzz_test.py
@@ -38,11 +38,11 @@
 def _messages_of(draw, first_line):
     lines = [first_line, b"Host: a"]
     for number in range(draw(strategies.integers(0, 3))):
-        lines.append(b"X-%d: %b" % (number, b"v" * draw(_small)))
+        lines.append(b"X-%d: %b" % (number, b"v" * draw(_small_integers)))
     body = draw(_BODIES)
     if draw(strategies.booleans()):
         lines.append(b"Transfer-Encoding: chunked")
-        sizes = draw(strategies.lists(_small, min_size=1, max_size=4))
+        sizes = draw(strategies.lists(_small_integers, min_size=1, max_size=4))
         wire = _chunked(body, sizes)
     else:
         lines.append(b"Content-Length: %d" % len(body))
@@ -50,7 +50,7 @@
     return b"\r\n".join(lines) + b"\r\n\r\n" + wire, body
 
 
-_small = strategies.integers(1, 20)
+_small_integers = strategies.integers(1, 20)
 _requests = strategies.lists(
     _messages_of(b"POST /r?q HTTP/1.1"), min_size=1, max_size=4
 )
--- a/wigeonrouter/request_path/__init__.py
+++ b/wigeonrouter/request_path/__init__.py
@@ -1,4 +1,4 @@
-"""The path of a request in a daemon: forwarding, retries, request ids."""
+"""Handles caller requests: routing, forwarding, retries, duplicates."""
 
 from wigeonrouter import http1
 from wigeonrouter.request_path import _handler
--- a/wigeonrouter/request_path/_attempt.py
+++ b/wigeonrouter/request_path/_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt: sends a request to one backend server and reads the answer."""
+"""Sends a request to one backend server and reads the response."""
 
 import time
 
@@ -14,7 +14,7 @@
 
 
 class AttemptSender:
-    """Sends attempts over pooled connections."""
+    """Makes single attempts over pooled connections."""
 
     def __init__(self, *, pool, clock=time.monotonic):
         self._pool = pool
@@ -24,35 +24,36 @@
         """Send a request to the granted server and release the grant.
 
         Args:
-          forwarding: _forwarder.Forwarding; its in_doubt is kept true
-            while the server may have run the request.
-          grant: core.Grant.
+          forwarding: _forwarder.ForwardingState; its in_doubt is true as
+            long as the server may have run the request.
+          grant: core.Grant, released with the result in any case.
         Returns:
-          HttpResponse, or core.Problem.
+          HttpResponse, or a core.Problem where there is no valid response or
+          the server states that it did not run the request.
         """
         outcome, report, cancelled = core.Outcome.UNKNOWN, None, True
         refused = False
         dispatcher = forwarding.dispatcher
         try:
-            answer = self._send(forwarding, grant.server.address)
+            result = self._send_over_pool(forwarding, grant.server.address)
             cancelled = False
-            if isinstance(answer, core.Problem):
-                outcome = answer.problem.outcome
-                refused = answer.problem is core.problems.CONNECT_FAILED
+            if isinstance(result, core.Problem):
+                outcome = result.problem.outcome
+                refused = result.problem is core.problems.CONNECT_FAILED
             else:
-                report = self._report(answer, grant, dispatcher)
-                outcome = outcome_of(answer)
+                report = self._parse_load_report(result, grant, dispatcher)
+                outcome = outcome_of(result)
                 if outcome is core.Outcome.NOT_RUN:
                     refused = True
                     forwarding.allowance = limits.allowance_after(
                         allowance=forwarding.allowance,
-                        text=answer.header(b"x-retry-budget"),
+                        text=result.header(b"x-retry-budget"),
                     )
-                    answer = core.Problem(
+                    result = core.Problem(
                         problem=core.problems.REFUSED_BY_SERVER
                     )
                     forwarding.in_doubt = False
-            return answer
+            return result
         finally:
             dispatcher.release(
                 grant,
@@ -65,7 +66,7 @@
                 ),
             )
 
-    def _send(self, forwarding, address):
+    def _send_over_pool(self, forwarding, address):
         while True:
             settings = forwarding.dispatcher.service.limits
             if self._clock() >= forwarding.deadline:
@@ -82,7 +83,7 @@
                 )
             fresh = connection.fresh
             try:
-                return self._exchange(
+                return self._exchange_messages(
                     forwarding,
                     address,
                     connection,
@@ -96,11 +97,11 @@
                         detail=str(error),
                     )
 
-    def _exchange(self, forwarding, address, connection, max_bytes):
+    def _exchange_messages(self, forwarding, address, connection, max_bytes):
         reusable = False
         try:
-            # Waiting for the connection may have taken any time, also
-            # because this process was stopped.
+            # The wait for a connection may have passed the deadline, for
+            # instance because this process was paused.
             remaining = forwarding.deadline - self._clock()
             if remaining <= 0:
                 return core.Problem(problem=core.problems.DEADLINE_PASSED)
@@ -115,18 +116,18 @@
             with gevent.Timeout(remaining, TimeoutError):
                 forwarding.in_doubt = True
                 connection.send(data)
-                answer, reusable = _response_reader.read_response(
+                response, reusable = _response_reader.read_response(
                     receive=connection.receive,
                     method=forwarding.request.method,
                     max_bytes=max_bytes,
                 )
-            if not _answers(answer, forwarding.request):
+            if not _matches_request(response, forwarding.request):
                 reusable = False
                 return core.Problem(
                     problem=core.problems.ANSWER_INVALID,
                     detail="response to another request",
                 )
-            return answer
+            return response
         except TimeoutError:
             return core.Problem(problem=core.problems.ANSWER_LATE)
         except OSError as error:
@@ -141,8 +142,8 @@
             else:
                 self._pool.discard(address, connection)
 
-    def _report(self, answer, grant, dispatcher):
-        text = answer.header(b"backend-load")
+    def _parse_load_report(self, response, grant, dispatcher):
+        text = response.header(b"backend-load")
         if not text:
             return None
         return _request_rules.parse_load_report(
@@ -152,16 +153,16 @@
         )
 
 
-def outcome_of(answer):
-    """Return the core.Outcome that an HttpResponse proves."""
-    if answer.status == 503 and answer.header(b"x-not-run") == b"1":
+def outcome_of(response):
+    """Return the core.Outcome that an HttpResponse stands for."""
+    if response.status == 503 and response.header(b"x-not-run") == b"1":
         return core.Outcome.NOT_RUN
-    if answer.status >= 500:
+    if response.status >= 500:
         return core.Outcome.FAILED
     return core.Outcome.OK
 
 
-def _answers(answer, request):
-    """Return whether an answer's own request id, if any, is the request's."""
-    answered = answer.header(b"x-request-id")
-    return not answered or answered == request.header(b"x-request-id")
+def _matches_request(response, request):
+    """Return whether a response has the id of the request, or no id."""
+    response_id = response.header(b"x-request-id")
+    return not response_id or response_id == request.header(b"x-request-id")
--- a/wigeonrouter/request_path/_deduplicator.py
+++ b/wigeonrouter/request_path/_deduplicator.py
@@ -1,4 +1,8 @@
-"""Decides who remembers a request id, and asks other daemons for it."""
+"""Detects duplicate requests by their ids, across daemons.
+
+An id can name a daemon instance, its owner, which records the id. Another
+daemon that receives the id must claim it from the owner first.
+"""
 
 from wigeonrouter import core
 from wigeonrouter.request_path import _request_ids
@@ -7,7 +11,7 @@
 
 
 class Deduplicator:
-    """Owns the request id table of this daemon."""
+    """Checks request ids; owns the request id table of this daemon."""
 
     def __init__(
         self,
@@ -27,12 +31,14 @@
         return len(self._table)
 
     def begin(self, request_id):
-        """Record an id before its request is forwarded; may ask a peer.
+        """Record an id before its request is forwarded.
+
+        An id of another daemon is claimed from it, which may block.
 
         Args:
           request_id: text.
         Returns:
-          None where the request may be forwarded, else a core.Problem.
+          None if the request may be forwarded, else a core.Problem.
         """
         if len(request_id) > _request_ids.MAX_ID_LENGTH:
             return core.Problem(
@@ -44,34 +50,37 @@
             failure = self._check_owner(request_id, parsed)
             if failure is not None:
                 return failure
-        # A repeat may have begun while the owner was asked.
+        # A duplicate may have been recorded during the claim.
         return self._table.begin(request_id)
 
     def finish(self, request_id, outcome):
-        """Record how a request ended."""
+        """Record the core.Outcome of a request."""
         self._table.finish(request_id, outcome)
 
-    def check_not_run(self, request_id, failure):
-        """Return a refusal that is true of all requests with an id.
+    def verify_not_run(self, request_id, failure):
+        """Return a failure that holds for all requests with an id.
 
         Args:
           request_id: text, possibly empty.
-          refusal: core.Problem that says "not run" of the present request.
+          failure: core.Problem of this request, with the outcome NOT_RUN.
         Returns:
-          A core.Problem; that of the first request with the id where that
-          one may have run.
+          The core.Problem of a duplicate if an earlier request with the id
+          may have run, else the given one.
         """
-        return self._table.check(request_id) or failure
+        return self._table.find_failure(request_id) or failure
 
     def handle_claim(self, request_id, claimant):
-        """Hand an id that names this daemon over to another daemon.
+        """Handle the claim of another daemon to an id of this daemon.
 
+        Args:
+          request_id: text.
+          claimant: id and instance of the other daemon, as text.
         Returns:
-          None where the claimant may forward the request, else the state of
-          the id.
+          None if the claimant may forward the request, else the state of the
+          id or the name of the problem.
         """
         parsed = _request_ids.parse_request_id(request_id)
-        if parsed is None or not self._is_own(parsed):
+        if parsed is None or not self._is_owned_here(parsed):
             return _UNKNOWN
         failure = _request_ids.check_age(
             time_ms=parsed.time_ms, now=self._wall_clock()
@@ -86,20 +95,24 @@
         )
         if failure is not None:
             return failure
-        if self._is_own(parsed):
+        if self._is_owned_here(parsed):
             return None
         if parsed.daemon_id == self._own_member().daemon_id:
-            # The daemon that remembered the id was replaced by this one.
+            # The table of the previous instance of this daemon is lost.
             return core.Problem(problem=core.problems.ID_OWNER_UNREACHABLE)
-        failure = self._table.check(request_id)
+        failure = self._table.find_failure(request_id)
         if failure is not None:
             return failure
         reply = self._claim_from_peer(parsed, request_id)
         if reply is None:
             return core.Problem(problem=core.problems.ID_OWNER_UNREACHABLE)
-        return _request_ids.refuse_state(reply.outcome) if reply.seen else None
+        return (
+            _request_ids.failure_for_state(reply.outcome)
+            if reply.seen
+            else None
+        )
 
-    def _is_own(self, parsed):
+    def _is_owned_here(self, parsed):
         own = self._own_member()
         return (
             parsed.daemon_id == own.daemon_id
--- a/wigeonrouter/request_path/_deduplicator_test.py
+++ b/wigeonrouter/request_path/_deduplicator_test.py
@@ -1,4 +1,4 @@
-"""Guards at-most-once over repeats at several daemons."""
+"""Guards at-most-once execution of duplicates at several daemons."""
 
 import time
 import types
@@ -28,11 +28,11 @@
     def __init__(self):
         self.now = 1000.0
         self.incarnation = 0
-        # What each daemon's wall clock is ahead, seconds.
-        self.skews = [0.0] * _DAEMONS
+        # Offset of each daemon's wall clock, seconds.
+        self.clock_skews_s = [0.0] * _DAEMONS
         self.members = [None] * _DAEMONS
-        self.ids = [None] * _DAEMONS
-        # "up", "frozen" (claims do not arrive) or "reply lost".
+        self.deduplicators = [None] * _DAEMONS
+        # "up", "frozen" (claims are not delivered) or "reply lost".
         self.links = ["up"] * _DAEMONS
         for number in range(_DAEMONS):
             self.replace(number)
@@ -45,13 +45,13 @@
             instance=self.incarnation,
         )
         claimant = f"d{number}~{self.incarnation}"
-        self.ids[number] = _deduplicator.Deduplicator(
+        self.deduplicators[number] = _deduplicator.Deduplicator(
             own_member=lambda: self.members[number],
             claim_from_peer=lambda parsed, request_id: self._claim(
                 int(parsed.daemon_id[1:]), request_id, claimant
             ),
             clock=lambda: self.now,
-            wall_clock=lambda: self.now + self.skews[number],
+            wall_clock=lambda: self.now + self.clock_skews_s[number],
             max_ids=_MAX_IDS,
         )
 
@@ -63,7 +63,7 @@
     def _claim(self, owner, request_id, claimant):
         if self.links[owner] == "frozen":
             return None
-        state = self.ids[owner].handle_claim(request_id, claimant)
+        state = self.deduplicators[owner].handle_claim(request_id, claimant)
         if self.links[owner] == "reply lost":
             return None
         return types.SimpleNamespace(
@@ -74,8 +74,8 @@
 _daemon = strategies.integers(0, _DAEMONS - 1)
 
 
-class _RepeatsMachine(stateful.RuleBasedStateMachine):
-    """No id is forwarded while it runs or after it may have run."""
+class _DuplicatesMachine(stateful.RuleBasedStateMachine):
+    """No request runs concurrently with, or after, one with the same id."""
 
     request_ids = stateful.Bundle("request_ids")
 
@@ -93,11 +93,14 @@
 
     @stateful.rule(request_id=request_ids, number=_daemon)
     def begin(self, request_id, number):
-        failure = self.cluster.ids[number].begin(request_id)
+        failure = self.cluster.deduplicators[number].begin(request_id)
         if failure is None:
             assert request_id not in self.may_have_run
             assert request_id not in self.running
-            self.running[request_id] = (number, self.cluster.ids[number])
+            self.running[request_id] = (
+                number,
+                self.cluster.deduplicators[number],
+            )
         elif failure.problem.outcome is core.Outcome.NOT_RUN:
             assert request_id not in self.may_have_run
             assert request_id not in self.running
@@ -109,8 +112,8 @@
     )
     def finish(self, index, outcome):
         request_id = sorted(self.running)[index % len(self.running)]
-        _, ids = self.running.pop(request_id)
-        ids.finish(request_id, outcome)
+        _, deduplicator = self.running.pop(request_id)
+        deduplicator.finish(request_id, outcome)
         if outcome is not core.Outcome.NOT_RUN:
             self.may_have_run.add(request_id)
 
@@ -138,10 +141,10 @@
         self.cluster.now += seconds
 
 
-_RepeatsMachine.TestCase.settings = settings(
+_DuplicatesMachine.TestCase.settings = settings(
     max_examples=300, stateful_step_count=40, deadline=None, derandomize=True
 )
-test_repeats_never_run_twice = _RepeatsMachine.TestCase
+test_duplicates_never_run_twice = _DuplicatesMachine.TestCase
 
 
 @pytest.fixture
@@ -151,14 +154,14 @@
 
 
 @pytest.mark.parametrize("outcome", core.Outcome)
-def test_a_repeat_at_a_third_daemon_after_a_claim(cluster, outcome):
+def test_duplicate_at_a_third_daemon_after_a_claim(cluster, outcome):
     request_id = cluster.mint(0, "n")
-    assert cluster.ids[1].begin(request_id) is None
-    cluster.ids[1].finish(request_id, outcome)
+    assert cluster.deduplicators[1].begin(request_id) is None
+    cluster.deduplicators[1].finish(request_id, outcome)
     for number in (0, 2):
-        problem = cluster.ids[number].begin(request_id).problem
+        problem = cluster.deduplicators[number].begin(request_id).problem
         assert problem.outcome is core.Outcome.UNKNOWN
-    again = cluster.ids[1].begin(request_id)
+    again = cluster.deduplicators[1].begin(request_id)
     assert (again is None) == (outcome is core.Outcome.NOT_RUN)
 
 
@@ -172,12 +175,14 @@
         ("begin", "duplicate-in-progress"),
     ],
 )
-def test_why_a_repeat_at_another_daemon_is_refused(cluster, change, problem):
+def test_reasons_for_refusing_a_duplicate_at_another_daemon(
+    cluster, change, problem
+):
     request_id = cluster.mint(0, "n")
     if change == "replace":
         cluster.replace(0)
         assert (
-            cluster.ids[0].begin(request_id).problem.name
+            cluster.deduplicators[0].begin(request_id).problem.name
             == "id-owner-unreachable"
         )
         cluster.links[0] = "frozen"
@@ -187,56 +192,64 @@
         cluster.now += _request_ids.RETENTION_S
     elif change == "fill":
         for number in range(_MAX_IDS):
-            cluster.ids[0].begin(f"other form {number}")
+            cluster.deduplicators[0].begin(f"other form {number}")
     else:
-        cluster.ids[0].begin(request_id)
-    assert cluster.ids[1].begin(request_id).problem.name == problem
+        cluster.deduplicators[0].begin(request_id)
+    assert cluster.deduplicators[1].begin(request_id).problem.name == problem
 
 
-def test_a_claim_is_refused_once_the_owner_may_have_forgotten(cluster):
-    """The claimant's clock is behind and takes the id for a young one."""
+def test_claim_is_refused_after_the_owner_may_have_expired_the_id(cluster):
+    """The claimant's clock is behind, so to it the id has not expired."""
     request_id = cluster.mint(0, "n")
-    assert cluster.ids[0].begin(request_id) is None
-    cluster.ids[0].finish(request_id, core.Outcome.OK)
+    assert cluster.deduplicators[0].begin(request_id) is None
+    cluster.deduplicators[0].finish(request_id, core.Outcome.OK)
     cluster.now += 126
-    cluster.ids[0].begin("another, which expires the first")
-    cluster.skews[1] = -60
-    assert cluster.ids[1].begin(request_id).problem.name == "id-expired"
+    cluster.deduplicators[0].begin("another, which expires the first")
+    cluster.clock_skews_s[1] = -60
+    assert (
+        cluster.deduplicators[1].begin(request_id).problem.name == "id-expired"
+    )
 
 
-def test_a_lost_claim_reply_can_be_repeated_by_the_claimant_only(cluster):
+def test_only_the_claimant_may_repeat_a_claim(cluster):
     request_id = cluster.mint(0, "n")
     cluster.links[0] = "reply lost"
-    assert cluster.ids[1].begin(request_id) is not None
+    assert cluster.deduplicators[1].begin(request_id) is not None
     cluster.links[0] = "up"
-    assert cluster.ids[2].begin(request_id).problem.name == "duplicate"
-    assert cluster.ids[1].begin(request_id) is None
+    assert (
+        cluster.deduplicators[2].begin(request_id).problem.name == "duplicate"
+    )
+    assert cluster.deduplicators[1].begin(request_id) is None
 
 
-def test_a_replaced_claimant_does_not_claim_again(cluster):
-    """It has lost its table, and with it what became of the request."""
+def test_restarted_claimant_cannot_repeat_its_claim(cluster):
+    """Its table is lost, so it does not know the outcome of the request."""
     request_id = cluster.mint(0, "n")
-    assert cluster.ids[1].begin(request_id) is None
+    assert cluster.deduplicators[1].begin(request_id) is None
     cluster.replace(1)
-    assert cluster.ids[1].begin(request_id).problem.name == "duplicate"
+    assert (
+        cluster.deduplicators[1].begin(request_id).problem.name == "duplicate"
+    )
 
 
-def test_a_running_request_outlives_the_retention(cluster):
-    assert cluster.ids[0].begin("free form") is None
+def test_id_of_a_request_in_progress_does_not_expire(cluster):
+    assert cluster.deduplicators[0].begin("free form") is None
     cluster.now += 1000
-    assert cluster.ids[0].begin("free form") is not None
+    assert cluster.deduplicators[0].begin("free form") is not None
 
 
-def test_a_full_table_refuses_rather_than_forgets(cluster):
+def test_full_table_refuses_new_ids_and_evicts_none(cluster):
     for number in range(_MAX_IDS):
-        assert cluster.ids[0].begin(f"n{number}") is None
-        cluster.ids[0].finish(f"n{number}", core.Outcome.OK)
-    assert cluster.ids[0].begin("new").problem.name == "id-table-full"
-    assert cluster.ids[0].begin("n0").problem.name == "duplicate"
-    assert len(cluster.ids[0]) == _MAX_IDS
+        assert cluster.deduplicators[0].begin(f"n{number}") is None
+        cluster.deduplicators[0].finish(f"n{number}", core.Outcome.OK)
+    assert (
+        cluster.deduplicators[0].begin("new").problem.name == "id-table-full"
+    )
+    assert cluster.deduplicators[0].begin("n0").problem.name == "duplicate"
+    assert len(cluster.deduplicators[0]) == _MAX_IDS
 
 
-def test_ids_with_dots_in_the_daemon_id_are_recognised():
+def test_request_ids_with_dots_in_the_daemon_id_are_parsed():
     parsed = _request_ids.parse_request_id("a.b-1~7.123.x.y")
     assert (parsed.daemon_id, parsed.instance) == ("a.b-1", 7)
     for text in ("", "a", "a~1", "a~1.2", "a~1.2.", "~1.2.x", "a~b.2.x"):
@@ -244,19 +257,21 @@
 
 
 @pytest.mark.parametrize("limit", [1, 4])
-def test_a_refusal_of_a_repeat_is_true_of_the_first_request(path, limit):
-    """A repeat that is refused early must not say that nothing ran."""
+def test_refused_duplicate_reports_the_outcome_of_the_first_request(
+    path, limit
+):
+    """An early refusal must not report NOT_RUN for a request that ran."""
     assert send(path, request_id="w").status == 200
     path.configure(max_body_bytes=limit)
-    answer = send(path, request_id="w", body=b"12345")
-    assert (answer.problem, answer.outcome) == ("duplicate", "unknown")
+    response = send(path, request_id="w", body=b"12345")
+    assert (response.problem, response.outcome) == ("duplicate", "unknown")
     path.handler.reconfigure({})
     assert send(path, request_id="w").outcome == "unknown"
     assert send(path, request_id="new").outcome == "not-run"
 
 
-def test_simultaneous_repeats_run_once(backends):
-    """Both wait for the owner's reply before either is recorded."""
+def test_concurrent_duplicates_run_once(backends):
+    """All of them wait for the owner's reply before one is recorded."""
     release = event.Event()
 
     def claim(*_):
@@ -274,19 +289,19 @@
     path.server.stop()
 
 
-def test_a_claim_that_outlasts_the_deadline_sends_nothing(backends):
+def test_nothing_is_sent_if_a_claim_outlasts_the_deadline(backends):
     def claim(*_):
         gevent.sleep(0.1)
         return types.SimpleNamespace(seen=False, outcome="")
 
     path = PathHarness(backends, claim=claim)
     request_id = f"d9~1.{_now_ms()}.n"
-    answer = send(path, request_id=request_id, X_Request_Timeout_Ms=20)
-    assert (answer.problem, path.runs(request_id)) == ("deadline-passed", 0)
+    response = send(path, request_id=request_id, X_Request_Timeout_Ms=20)
+    assert (response.problem, path.runs(request_id)) == ("deadline-passed", 0)
     path.server.stop()
 
 
-def test_a_repeat_while_the_first_runs_is_refused(path):
+def test_duplicate_of_a_request_in_progress_is_refused(path):
     path.set_faults({"silent": True}, {"silent": True})
     with path.connect() as sock:
         sock.sendall(render(request_id="w"))
--- a/wigeonrouter/request_path/_forwarder.py
+++ b/wigeonrouter/request_path/_forwarder.py
@@ -1,4 +1,4 @@
-"""Forwards one request: attempts, retries and their outcome."""
+"""Forwards a request to backend servers, with retries and hedging."""
 
 import dataclasses
 import time
@@ -12,21 +12,23 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Forwarding:
-    """One request on its way.
+class ForwardingState:
+    """State of a request that is being forwarded.
 
     Attributes:
       request: HttpRequest of the caller.
-      kind: its core.TrafficKind.
-      tenant: text.
+      kind: core.TrafficKind of the request.
+      tenant: name of the tenant.
       deadline: seconds on the monotonic clock.
       dispatcher: Dispatcher of the service.
       budget: limits.RetryBudget of the service.
-      in_doubt: whether a backend server may have run the request; valid at
-        any time, also when the task is cancelled.
+      in_doubt: whether a backend server may have run the request. Kept up to
+        date, so that it is also right when the task is cancelled.
       server: name of the backend server of the last attempt.
+      attempts: number of attempts so far.
       excluded: names of the backend servers that were tried.
-      allowance: retries that the call tree may still make from here.
+      allowance: number of retries that are left for this request, here and
+        in the calls below.
     """
 
     request: _messages.HttpRequest
@@ -42,7 +44,7 @@
     allowance: int = 0
 
     def try_spend(self):
-        """Take one retry from both budgets; return whether it was there."""
+        """Take one retry from both budgets; return False if one is empty."""
         if self.allowance <= 0 or not self.budget.try_spend():
             return False
         self.allowance -= 1
@@ -50,7 +52,7 @@
 
 
 class Forwarder:
-    """Sends requests to backend servers over pooled connections."""
+    """Forwards requests over pooled connections."""
 
     def __init__(self, *, pool, clock=time.monotonic):
         self._clock = clock
@@ -58,53 +60,55 @@
         self._hedger = _hedging.Hedger(clock=clock)
 
     def forward(self, forwarding):
-        """Get the whole answer to a request.
+        """Forward a request and return its complete response.
 
         Args:
-          forwarding: Forwarding; updated on the way.
+          forwarding: ForwardingState, updated with each attempt.
         Returns:
           HttpResponse or core.Problem.
         """
         retries = forwarding.dispatcher.service.retries
-        # A hedge is a further attempt beyond max_attempts.
+        # A hedged request is an attempt in addition to max_attempts.
         forwarding.allowance = limits.parse_allowance(
             text=forwarding.request.header(b"x-retry-budget"),
             max_attempts=retries.max_attempts + (retries.hedge_quantile > 0),
         )
         if forwarding.allowance:
             forwarding.budget.on_request()
-        doubtful = None
+        unknown_failure = None
         while True:
             grant = self._acquire(forwarding)
             if isinstance(grant, core.Problem):
-                return _request_rules.final_refusal(
-                    failure=grant, doubtful=doubtful
+                return _request_rules.final_failure(
+                    failure=grant, unknown_failure=unknown_failure
                 )
-            answer = self._send(forwarding, grant)
-            if isinstance(answer, _messages.HttpResponse):
-                return answer
-            if answer.problem.outcome is core.Outcome.UNKNOWN:
-                doubtful = answer
-            if not self._may_retry(forwarding, answer):
-                return _request_rules.final_refusal(
-                    failure=answer, doubtful=doubtful
+            result = self._send_attempt(forwarding, grant)
+            if isinstance(result, _messages.HttpResponse):
+                return result
+            if result.problem.outcome is core.Outcome.UNKNOWN:
+                unknown_failure = result
+            if not self._may_retry(forwarding, result):
+                return _request_rules.final_failure(
+                    failure=result, unknown_failure=unknown_failure
                 )
 
-    def _send(self, forwarding, grant):
-        hedged = forwarding.dispatcher.service.retries.hedge_quantile > 0
-        if not (hedged and forwarding.kind.idempotent):
+    def _send_attempt(self, forwarding, grant):
+        hedging_enabled = (
+            forwarding.dispatcher.service.retries.hedge_quantile > 0
+        )
+        if not (hedging_enabled and forwarding.kind.idempotent):
             return self._sender.send(forwarding, grant)
 
-        def send_again():
-            further = self._acquire(forwarding)
-            if isinstance(further, core.Problem):
-                return further
-            return self._sender.send(forwarding, further)
+        def send_hedge():
+            second_grant = self._acquire(forwarding)
+            if isinstance(second_grant, core.Problem):
+                return second_grant
+            return self._sender.send(forwarding, second_grant)
 
         return self._hedger.run(
             forwarding,
             lambda: self._sender.send(forwarding, grant),
-            send_again,
+            send_hedge,
         )
 
     def _acquire(self, forwarding):
--- a/wigeonrouter/request_path/_forwarder_test.py
+++ b/wigeonrouter/request_path/_forwarder_test.py
@@ -1,4 +1,7 @@
-"""Guards at-most-once, whole answers and leaks under backend faults."""
+"""Guards at-most-once execution, response integrity and resource release.
+
+The backend servers are stand-ins with faults.
+"""
 
 import time
 
@@ -9,14 +12,14 @@
 from wigeonrouter import core
 from wigeonrouter.http1 import _caller_connection
 from wigeonrouter.http1 import _pool
-from wigeonrouter.request_path.conftest import receive_answer
+from wigeonrouter.request_path.conftest import receive_response
 from wigeonrouter.request_path.conftest import render
 from wigeonrouter.request_path.conftest import send
 from wigeonrouter.request_path.conftest import wait_until
 
 _OK = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n"
-# Answers that are not the whole answer to the request.
-_BAD_ANSWERS = {
+# Responses that are not one complete response to the request.
+_INVALID_RESPONSES = {
     "truncated": {"raw": _OK + "\r\nab", "close": True},
     "no answer": {"raw": " ", "close": True},
     "garbled": {"raw": "\x00\x01\r\n\r\n", "close": True},
@@ -39,19 +42,25 @@
 }
 
 
-@pytest.mark.parametrize("fault", _BAD_ANSWERS.values(), ids=_BAD_ANSWERS)
-def test_bad_answers_leave_writes_unknown_and_run_once(path, fault):
+@pytest.mark.parametrize(
+    "fault", _INVALID_RESPONSES.values(), ids=_INVALID_RESPONSES
+)
+def test_invalid_responses_make_writes_unknown_and_are_not_retried(
+    path, fault
+):
     path.configure(max_response_bytes=2000)
     path.set_faults(fault, fault)
-    answer = send(path, request_id="w")
-    assert (answer.outcome, path.runs("w")) == ("unknown", 1)
+    response = send(path, request_id="w")
+    assert (response.outcome, path.runs("w")) == ("unknown", 1)
     assert send(path, request_id="w").problem == "duplicate"
     assert path.runs("w") == 1
     path.assert_released()
 
 
-@pytest.mark.parametrize("fault", _BAD_ANSWERS.values(), ids=_BAD_ANSWERS)
-def test_bad_answers_are_retried_for_reads(path, fault):
+@pytest.mark.parametrize(
+    "fault", _INVALID_RESPONSES.values(), ids=_INVALID_RESPONSES
+)
+def test_invalid_responses_are_retried_for_reads(path, fault):
     path.configure(max_response_bytes=2000)
     path.set_faults(fault, {})
     for number in range(3):
@@ -60,14 +69,14 @@
 
 
 @pytest.mark.parametrize("fault", [{"silent": True}, {"delay_ms": 5000}])
-def test_late_answers_never_reach_a_later_request(path, fault):
+def test_late_responses_never_reach_a_later_request(path, fault):
     path.set_faults(fault, fault)
-    answer = send(path, request_id="late", X_Request_Timeout_Ms=50)
-    assert answer.problem == "answer-late"
+    response = send(path, request_id="late", X_Request_Timeout_Ms=50)
+    assert response.problem == "answer-late"
     path.set_faults({}, {})
     for number in range(6):
-        answer = send(path, request_id=f"n{number}")
-        assert f'"request_id": "n{number}"'.encode() in answer.body
+        response = send(path, request_id=f"n{number}")
+        assert f'"request_id": "n{number}"'.encode() in response.body
     path.assert_released()
 
 
@@ -91,25 +100,25 @@
         (_OK + "Connection: close\r\n\r\nabcd", "GET", 200, b"abcd"),
     ],
 )
-def test_answers_without_body_and_interim_ones(
+def test_interim_responses_and_responses_without_body(
     path, raw, method, status, body
 ):
     path.set_faults({"raw": raw}, {"raw": raw})
     with path.connect() as sock:
         for _ in range(3):
             sock.sendall(render(method))
-            answer = receive_answer(sock, method)
-            assert (answer.status, answer.body) == (status, body)
+            response = receive_response(sock, method)
+            assert (response.status, response.body) == (status, body)
 
 
-def test_a_backend_server_cannot_speak_for_the_daemon(path):
+def test_outcome_headers_of_a_backend_server_are_dropped(path):
     raw = {"raw": _OK + "X-Outcome: not-run\r\nX-Not-Run: 1\r\n\r\nabcd"}
     path.set_faults(raw, raw)
-    answer = send(path, request_id="w")
-    assert (answer.status, answer.outcome) == (200, "ok")
+    response = send(path, request_id="w")
+    assert (response.status, response.outcome) == (200, "ok")
 
 
-def test_refusals_with_proof_are_retried_for_writes(path):
+def test_not_run_refusals_are_retried_for_writes(path):
     path.set_faults({"refuse": True}, {})
     for number in range(3):
         assert send(path, request_id=f"w{number}").status == 200
@@ -121,29 +130,29 @@
     path.assert_released()
 
 
-def test_not_run_is_not_claimed_after_a_doubtful_attempt(path):
+def test_outcome_is_unknown_after_an_attempt_in_doubt(path):
     path.set_faults({"raw": " ", "close": True}, {"refuse": True})
     for number in range(4):
-        answer = send(path, "GET", request_id=f"r{number}")
+        response = send(path, "GET", request_id=f"r{number}")
         ran = path.runs(f"r{number}") > 0
-        assert answer.outcome == ("unknown" if ran else "not-run")
+        assert response.outcome == ("unknown" if ran else "not-run")
 
 
-def test_unreachable_servers_are_proof_of_not_run(path):
+def test_unreachable_servers_yield_connect_failed(path):
     for backend in path.backends:
         backend.stop()
     assert send(path, request_id="w").problem == "connect-failed"
     path.assert_released()
 
 
-def test_a_pooled_connection_that_was_closed_is_not_used(path):
+def test_closed_pooled_connection_is_not_used(path):
     path.set_faults({"close": True}, {"close": True})
     for number in range(8):
         assert send(path, request_id=f"w{number}").status == 200
         assert path.runs(f"w{number}") == 1
 
 
-def test_a_send_that_failed_at_once_uses_another_connection(path, monkeypatch):
+def test_failed_first_send_uses_another_connection(path, monkeypatch):
     """The server closes between the check of the connection and the send."""
     for number in range(4):
         send(path, request_id=f"w{number}")
@@ -163,16 +172,16 @@
     path.assert_released()
 
 
-def test_a_caller_that_leaves_after_a_failed_send_frees_its_id(
+def test_caller_disconnect_after_a_failed_send_releases_the_request_id(
     path, monkeypatch
 ):
-    """No byte was sent, so that a repeat may run."""
+    """No byte was sent, so a request with the same id may run."""
     pool = path.handler._forwarder._sender._pool
-    checkout, count = pool.checkout, []
+    checkout, checkouts = pool.checkout, []
 
-    def leave_at_the_second(**arguments):
-        count.append(1)
-        if len(count) == 2:
+    def disconnect_at_second_checkout(**arguments):
+        checkouts.append(1)
+        if len(checkouts) == 2:
             raise _caller_connection.CallerDisconnected
         return checkout(**arguments)
 
@@ -180,7 +189,7 @@
         raise _pool.RequestNotSent("closed")
 
     with monkeypatch.context() as patch:
-        patch.setattr(pool, "checkout", leave_at_the_second)
+        patch.setattr(pool, "checkout", disconnect_at_second_checkout)
         patch.setattr(_pool.Connection, "send", fail)
         patch.setattr(_pool.Connection, "fresh", False)
         with path.connect() as sock:
@@ -190,7 +199,7 @@
     path.assert_released()
 
 
-def test_a_caller_that_leaves_cancels_its_running_request(path):
+def test_caller_disconnect_cancels_its_request(path):
     path.set_faults({"silent": True}, {"silent": True})
     sock = path.connect()
     sock.sendall(render(request_id="gone"))
@@ -202,7 +211,7 @@
     assert path.records[0].problem == "caller-gone"
 
 
-def test_a_caller_that_leaves_the_queue_frees_its_id(path):
+def test_caller_disconnect_in_the_queue_releases_the_request_id(path):
     path.set_faults({"silent": True}, {"silent": True})
     running = [path.connect() for _ in range(4)]
     for number, sock in enumerate(running):
@@ -220,33 +229,35 @@
     assert send(path, request_id="queued").status == 200
 
 
-@pytest.mark.parametrize("waits_in", ["queue", "checkout"])
-def test_nothing_is_sent_once_the_deadline_passed_during_a_wait(
-    path, monkeypatch, waits_in
+@pytest.mark.parametrize("waiting_for", ["queue", "checkout"])
+def test_nothing_is_sent_if_the_deadline_passes_during_a_wait(
+    path, monkeypatch, waiting_for
 ):
-    """The daemon was frozen while the request waited."""
+    """The process is paused while the request waits."""
     send(path, request_id="first")
-    sender, frozen = path.handler._forwarder._sender, [0.0]
-    monkeypatch.setattr(sender, "_clock", lambda: time.monotonic() + frozen[0])
+    sender, clock_offset = path.handler._forwarder._sender, [0.0]
+    monkeypatch.setattr(
+        sender, "_clock", lambda: time.monotonic() + clock_offset[0]
+    )
     owner, name = {
         "queue": (path.handler.dispatchers["/s"], "acquire"),
         "checkout": (sender._pool, "checkout"),
-    }[waits_in]
+    }[waiting_for]
     wait = getattr(owner, name)
 
-    def freeze(*arguments, **named):
+    def wait_and_pass_deadline(*arguments, **named):
         result = wait(*arguments, **named)
-        frozen[0] = 1000.0
+        clock_offset[0] = 1000.0
         return result
 
-    monkeypatch.setattr(owner, name, freeze)
-    answer = send(path, request_id="w")
-    assert (answer.problem, path.runs("w")) == ("deadline-passed", 0)
+    monkeypatch.setattr(owner, name, wait_and_pass_deadline)
+    response = send(path, request_id="w")
+    assert (response.problem, path.runs("w")) == ("deadline-passed", 0)
     path.assert_released()
 
 
-def test_the_connection_limit_holds_and_follows_the_settings(path):
-    """A task that waits for a connection must neither leak nor hang."""
+def test_connection_limit_holds_with_cancelled_waiters(path):
+    """A cancelled waiter neither keeps a permit nor blocks other waiters."""
     pool = _pool.ConnectionPool()
     address = core.Address(host="127.0.0.1", port=path.backends[0].port)
     deadline = pool._clock() + 10
@@ -270,7 +281,7 @@
         pool.checkout, address=address, limit=2, deadline=deadline
     )
     gevent.sleep(0)
-    # The task is cancelled between the hand-over and its wake-up.
+    # The task is cancelled after it was given the permit and before it runs.
     gevent.get_hub().loop.run_callback(handed.throw, gevent.GreenletExit)
     pool.discard(address, held[1])
     handed.join(timeout=5)
@@ -278,14 +289,14 @@
     assert pool.in_use == 0
 
 
-def test_a_spent_retry_budget_forbids_retries(path):
-    """Without it retries multiply at each level of the call tree."""
+def test_exhausted_retry_budget_prevents_retries(path):
+    """Otherwise retries multiply at each level of the call tree."""
     path.set_faults({"refuse": True}, {})
-    answers = [
+    responses = [
         send(path, request_id=f"w{number}", X_Retry_Budget="0")
         for number in range(4)
     ]
-    refused = [answer for answer in answers if answer.status == 503]
+    refused = [response for response in responses if response.status == 503]
     assert refused
     assert {a.headers[b"x-retry-budget"] for a in refused} == {b"0"}
     path.assert_released()
--- a/wigeonrouter/request_path/_handler.py
+++ b/wigeonrouter/request_path/_handler.py
@@ -1,4 +1,4 @@
-"""Handles one caller request from routing to the final answer."""
+"""Handles a caller request from routing to the final response."""
 
 import dataclasses
 import random
@@ -20,14 +20,14 @@
 from wigeonrouter.request_path import _forwarder
 from wigeonrouter.request_path import _request_rules
 
-# Tenant names become keys of queues and histograms.
+# Limits the size of keys: each tenant has its own queue and histogram.
 _MAX_TENANT_LENGTH = 100
 _log = logbook.Logger("request-path")
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RequestRecord:
-    """What logs and metrics get to know of a request. Latency in seconds."""
+    """Data of a finished request for logs and metrics. Latency in seconds."""
 
     request_id: str
     service: str
@@ -40,7 +40,7 @@
 
 
 class RequestHandler:
-    """Owns the dispatchers, the pool and the request id table."""
+    """Owns the dispatchers, the connection pool and the deduplicator."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
 
     @property
     def dispatchers(self):
-        """Dict from service name to its Dispatcher, those in use only."""
+        """Dict from service name to Dispatcher, of services with requests."""
         return self._dispatchers
 
     @property
@@ -86,11 +86,11 @@
 
     @property
     def connections_in_use(self):
-        """Number of connections to backend servers with a request."""
+        """Number of connections to backend servers that are checked out."""
         return self._pool.in_use
 
     def reconfigure(self, services):
-        """Take over a dict of core.EffectiveService."""
+        """Apply a dict from service name to core.EffectiveService."""
         self._services = services
         self._table = dispatch.build_routing_table(services)
         for name in list(self._dispatchers):
@@ -104,17 +104,17 @@
                 )
 
     def set_draining(self, addresses):
-        """Take over the backend server addresses known to be leaving."""
+        """Apply the set of addresses of draining backend servers, as text."""
         self._draining = frozenset(addresses)
         for dispatcher in self._dispatchers.values():
             dispatcher.set_draining(self._draining)
 
     def close_idle_connections(self):
-        """Close pooled connections that were idle for too long."""
+        """Close the pooled connections that exceed the idle limit."""
         self._pool.close_idle()
 
     def body_limit(self, request):
-        """Return the largest body of a request whose head has arrived.
+        """Return the body limit, in bytes, for the head of a request.
 
         Raises:
           MalformedMessage: no service matches the request.
@@ -125,38 +125,42 @@
         return service.limits.max_body_bytes
 
     def handle(self, request, arrived):
-        """Answer one request.
+        """Handle one request.
 
         Args:
           request: HttpRequest.
           arrived: earliest time at which it may have arrived, seconds on
             the monotonic clock.
         Returns:
-          HttpResponse for the caller.
+          HttpResponse for the caller. Internal errors become responses too.
+        Raises:
+          CallerDisconnected: the caller has closed its connection.
         """
-        call = _Call(
+        context = _RequestContext(
             request=request,
             request_id=request.header(b"x-request-id").decode("latin-1"),
             tenant=request.header(b"x-tenant").decode("latin-1") or "default",
             arrived=arrived,
         )
         try:
-            answer = self._run(call)
+            result = self._validate_and_forward(context)
         except _caller_connection.CallerDisconnected:
             self._record(
-                call, core.problems.CALLER_GONE.name, core.Outcome.UNKNOWN
+                context, core.problems.CALLER_GONE.name, core.Outcome.UNKNOWN
             )
             raise
         except Exception:
-            _log.exception("request {} failed", call.request_id)
-            answer = core.Problem(problem=core.problems.INTERNAL)
-        return self._finish(call, answer)
+            _log.exception(
+                "internal error while handling request {}", context.request_id
+            )
+            result = core.Problem(problem=core.problems.INTERNAL)
+        return self._finish_request(context, result)
 
     def _route(self, request):
         path = request.target.decode("latin-1").partition("?")[0]
         if "%" in path:
-            # A backend server decodes the path; the kind of traffic must be
-            # that of the path which it acts on.
+            # Backend servers decode the path, so the traffic kind must be
+            # that of the decoded path.
             path = parse.unquote(path, "latin-1")
         host = request.header(b"host").decode("latin-1").partition(":")[0]
         name = dispatch.find_service(
@@ -173,59 +177,59 @@
         )
         return service, kind
 
-    def _run(self, call):
-        call.service, call.kind = self._route(call.request)
-        if call.service is None:
+    def _validate_and_forward(self, context):
+        context.service, context.kind = self._route(context.request)
+        if context.service is None:
             return core.Problem(problem=core.problems.NO_ROUTE)
-        limits_of = call.service.limits
-        if len(call.request.body) > limits_of.max_body_bytes:
+        service_limits = context.service.limits
+        if len(context.request.body) > service_limits.max_body_bytes:
             return core.Problem(problem=core.problems.BODY_TOO_LARGE)
-        if len(call.tenant) > _MAX_TENANT_LENGTH:
+        if len(context.tenant) > _MAX_TENANT_LENGTH:
             return core.Problem(
                 problem=core.problems.BAD_REQUEST,
                 detail="X-Tenant is too long",
             )
         timeout = _request_rules.parse_timeout(
-            text=call.request.header(b"x-request-timeout-ms").decode(
+            text=context.request.header(b"x-request-timeout-ms").decode(
                 "latin-1"
             ),
-            kind=call.kind,
-            limits=limits_of,
+            kind=context.kind,
+            limits=service_limits,
         )
         if timeout is None:
             return core.Problem(
                 problem=core.problems.BAD_REQUEST,
-                detail="X-Request-Timeout-Ms is no positive number",
+                detail="X-Request-Timeout-Ms is not a positive integer",
             )
-        call.forwarding = _forwarder.Forwarding(
-            request=call.request,
-            kind=call.kind,
-            tenant=call.tenant,
-            deadline=call.arrived + timeout,
-            dispatcher=self._dispatcher(call.service),
-            budget=self._budgets[call.service.name],
+        context.forwarding = _forwarder.ForwardingState(
+            request=context.request,
+            kind=context.kind,
+            tenant=context.tenant,
+            deadline=context.arrived + timeout,
+            dispatcher=self._dispatcher(context.service),
+            budget=self._budgets[context.service.name],
         )
-        if call.request_id and not call.kind.idempotent:
-            return self._run_once(call)
-        return self._forwarder.forward(call.forwarding)
+        if context.request_id and not context.kind.idempotent:
+            return self._forward_once(context)
+        return self._forwarder.forward(context.forwarding)
 
-    def _run_once(self, call):
-        failure = self._deduplicator.begin(call.request_id)
+    def _forward_once(self, context):
+        failure = self._deduplicator.begin(context.request_id)
         if failure is not None:
             return failure
         outcome = None
         try:
-            answer = self._forwarder.forward(call.forwarding)
-            outcome = _outcome_of(answer)
-            return answer
+            result = self._forwarder.forward(context.forwarding)
+            outcome = _outcome_of(result)
+            return result
         finally:
             if outcome is None:
-                # The caller has gone, or the daemon failed.
-                in_doubt = call.forwarding.in_doubt
+                # The caller disconnected, or an internal error occurred.
+                in_doubt = context.forwarding.in_doubt
                 outcome = (
                     core.Outcome.UNKNOWN if in_doubt else core.Outcome.NOT_RUN
                 )
-            self._deduplicator.finish(call.request_id, outcome)
+            self._deduplicator.finish(context.request_id, outcome)
 
     def _dispatcher(self, service):
         dispatcher = self._dispatchers.get(service.name)
@@ -244,46 +248,50 @@
             )
         return dispatcher
 
-    def _finish(self, call, answer):
-        outcome = _outcome_of(answer)
+    def _finish_request(self, context, result):
+        outcome = _outcome_of(result)
         if outcome is core.Outcome.NOT_RUN:
-            answer = self._deduplicator.check_not_run(call.request_id, answer)
-            outcome = _outcome_of(answer)
+            result = self._deduplicator.verify_not_run(
+                context.request_id, result
+            )
+            outcome = _outcome_of(result)
         problem = ""
-        if isinstance(answer, core.Problem):
-            problem = answer.problem.name
-            answer = _render.problem_response(
-                failure=answer,
-                request_id=call.request_id,
+        if isinstance(result, core.Problem):
+            problem = result.problem.name
+            result = _render.problem_response(
+                failure=result,
+                request_id=context.request_id,
                 retry_budget=(
-                    call.forwarding.allowance if call.forwarding else None
+                    context.forwarding.allowance
+                    if context.forwarding
+                    else None
                 ),
             )
         elif outcome is core.Outcome.FAILED:
-            answer = dataclasses.replace(answer, outcome=b"failed")
-        self._record(call, problem, outcome)
-        return answer
+            result = dataclasses.replace(result, outcome=b"failed")
+        self._record(context, problem, outcome)
+        return result
 
-    def _record(self, call, problem, outcome):
-        # Runs when this task next waits, so that the response goes out first.
+    def _record(self, context, problem, outcome):
+        # Deferred to the event loop, so that the response is sent first.
         self._loop.run_callback(
             self._observe,
             RequestRecord(
-                request_id=call.request_id,
-                service=call.service.name if call.service else "",
-                kind=call.kind.name,
-                tenant=call.tenant[:_MAX_TENANT_LENGTH],
-                server=call.forwarding.server if call.forwarding else "",
+                request_id=context.request_id,
+                service=context.service.name if context.service else "",
+                kind=context.kind.name,
+                tenant=context.tenant[:_MAX_TENANT_LENGTH],
+                server=context.forwarding.server if context.forwarding else "",
                 problem=problem,
                 outcome=outcome,
-                latency=self._clock() - call.arrived,
+                latency=self._clock() - context.arrived,
             ),
         )
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Call:
-    """What is known of a request so far. Arrival time in seconds."""
+class _RequestContext:
+    """A request and what was derived from it. Arrival time in seconds."""
 
     request: _messages.HttpRequest
     request_id: str
@@ -291,10 +299,10 @@
     arrived: float
     service: core.EffectiveService | None = None
     kind: core.TrafficKind = dispatch.DEFAULT_KIND
-    forwarding: _forwarder.Forwarding | None = None
+    forwarding: _forwarder.ForwardingState | None = None
 
 
-def _outcome_of(answer):
-    if isinstance(answer, core.Problem):
-        return answer.problem.outcome
-    return _attempt.outcome_of(answer)
+def _outcome_of(result):
+    if isinstance(result, core.Problem):
+        return result.problem.outcome
+    return _attempt.outcome_of(result)
--- a/wigeonrouter/request_path/_hedging.py
+++ b/wigeonrouter/request_path/_hedging.py
@@ -1,6 +1,8 @@
-"""Hedges slow idempotent requests: a second attempt after a latency quantile.
+"""Hedges slow idempotent requests.
 
-The first whole answer wins, and the other attempt is cancelled.
+A second attempt is started if the first takes longer than a quantile of
+recent latencies. The first successful response is used, and the other attempt
+is cancelled.
 """
 
 import collections
@@ -11,52 +13,59 @@
 from wigeonrouter import core
 from wigeonrouter.http1 import _messages
 
-# With fewer samples a high quantile is no more than the slowest request.
+# With fewer samples a high quantile is just that of the slowest request.
 _MIN_SAMPLES = 50
-_WINDOW = 500
-_REFRESH_INTERVAL = 25
-# A shorter delay would hedge nearly all requests of a fast service.
+_MAX_SAMPLES = 500
+_SAMPLES_PER_REFRESH = 25
+# A shorter delay would hedge most requests of a fast service.
 _MIN_DELAY_S = 0.001
 
 
 class LatencyWindow:
-    """Owns the latest latencies of one kind of traffic. Times in seconds."""
+    """Sliding window of the latencies of one traffic kind, in seconds."""
 
     def __init__(self):
-        self._samples = collections.deque(maxlen=_WINDOW)
-        self._since_refresh = 0
-        self._ordered = []
+        self._samples = collections.deque(maxlen=_MAX_SAMPLES)
+        self._added_since_refresh = 0
+        self._sorted_samples = []
 
     def add(self, latency):
-        """Add one latency."""
+        """Add a latency in seconds."""
         self._samples.append(latency)
-        self._since_refresh += 1
-        if self._since_refresh >= _REFRESH_INTERVAL:
-            self._since_refresh = 0
-            self._ordered = sorted(self._samples)
-
-    def quantile(self, share):
-        """Return a quantile (share from 0 to 1), or None as yet unknown."""
-        if len(self._ordered) < _MIN_SAMPLES:
+        self._added_since_refresh += 1
+        if self._added_since_refresh >= _SAMPLES_PER_REFRESH:
+            self._added_since_refresh = 0
+            self._sorted_samples = sorted(self._samples)
+
+    def quantile(self, fraction):
+        """Return the quantile for a fraction from 0 to 1, in seconds.
+
+        None is returned until there are _MIN_SAMPLES. The sorted samples are
+        refreshed every _SAMPLES_PER_REFRESH samples only.
+        """
+        if len(self._sorted_samples) < _MIN_SAMPLES:
             return None
-        last = len(self._ordered) - 1
-        return self._ordered[min(last, int(len(self._ordered) * share))]
+        last = len(self._sorted_samples) - 1
+        return self._sorted_samples[
+            min(last, int(len(self._sorted_samples) * fraction))
+        ]
 
 
 class Hedger:
-    """Owns the latency windows of all kinds of traffic that are hedged."""
+    """Runs hedged attempts; owns the latency window of each traffic kind."""
 
     def __init__(self, *, clock=time.monotonic):
         self._clock = clock
         self._windows = collections.defaultdict(LatencyWindow)
 
     def run(self, forwarding, first, second):
-        """Run one attempt, and another one where the first is slow.
+        """Run an attempt and, if it is slow, a second one.
 
         Args:
-          forwarding: _forwarder.Forwarding of an idempotent request.
+          forwarding: _forwarder.ForwardingState of an idempotent request.
           first: function without arguments that makes the first attempt.
-          second: function that waits for a slot and makes another one.
+          second: function without arguments that waits for a slot and makes
+            the second attempt.
         Returns:
           HttpResponse or core.Problem.
         """
@@ -65,17 +74,20 @@
         started = self._clock()
         delay = window.quantile(service.retries.hedge_quantile)
         if delay is None:
-            answer = first()
+            result = first()
         else:
-            answer = _race(first, second, max(_MIN_DELAY_S, delay), forwarding)
-        if _is_success(answer):
+            result = _run_with_hedge(
+                first, second, max(_MIN_DELAY_S, delay), forwarding
+            )
+        if _is_success(result):
             window.add(self._clock() - started)
-        return answer
+        return result
 
 
-def _race(first, second, delay, budget):
+def _run_with_hedge(first, second, delay, budget):
     tasks = [gevent.spawn(first)]
-    # An attempt that is killed before its start could not give back its slot.
+    # Let the first attempt start: if it were killed before that, its finally
+    # clause would not release the slot.
     gevent.sleep(0)
     try:
         tasks[0].join(timeout=delay)
@@ -87,22 +99,22 @@
 
 
 def _first_success(tasks):
-    waiting, answers = list(tasks), []
-    while waiting:
-        for task in gevent.wait(waiting, count=1):
-            waiting.remove(task)
-            answers.append(task.get())
-        if _is_success(answers[-1]):
-            return answers[-1]
-    return min(answers, key=_rank)
+    running, results = list(tasks), []
+    while running:
+        for task in gevent.wait(running, count=1):
+            running.remove(task)
+            results.append(task.get())
+        if _is_success(results[-1]):
+            return results[-1]
+    return min(results, key=_failure_rank)
 
 
-def _is_success(answer):
-    return isinstance(answer, _messages.HttpResponse) and answer.status < 500
+def _is_success(result):
+    return isinstance(result, _messages.HttpResponse) and result.status < 500
 
 
-def _rank(answer):
-    """Prefer an answer, then a refusal that leaves the outcome in doubt."""
-    if isinstance(answer, _messages.HttpResponse):
+def _failure_rank(result):
+    """Order results: a response, then an UNKNOWN outcome, then others."""
+    if isinstance(result, _messages.HttpResponse):
         return 0
-    return 1 if answer.problem.outcome is core.Outcome.UNKNOWN else 2
+    return 1 if result.problem.outcome is core.Outcome.UNKNOWN else 2
--- a/wigeonrouter/request_path/_hedging_test.py
+++ b/wigeonrouter/request_path/_hedging_test.py
@@ -1,59 +1,59 @@
-"""Guards hedging: only reads, only within the budget, no leaked attempts."""
+"""Guards hedging: reads only, within the retry budget, without leaks."""
 
 import gevent
 import pytest
 
 from wigeonrouter import core
 from wigeonrouter.request_path import _hedging
-from wigeonrouter.request_path.conftest import receive_answer
+from wigeonrouter.request_path.conftest import receive_response
 from wigeonrouter.request_path.conftest import render
 from wigeonrouter.request_path.conftest import send
 from wigeonrouter.request_path.conftest import wait_until
 
-_HANGS = {"delay_ms": 60_000}
+_HANGING = {"delay_ms": 60_000}
 
 
 @pytest.fixture
 def hedged_path(path):
-    """A path that has seen enough requests to hedge them."""
+    """A path with enough latency samples to hedge requests."""
     path.configure(
         retries=core.RetrySettings(hedge_quantile=0.9, max_attempts=1)
     )
     with path.connect() as sock:
         for method in ["GET", "POST"] * 60:
             sock.sendall(render(method))
-            assert receive_answer(sock, method).status == 200
+            assert receive_response(sock, method).status == 200
     return path
 
 
-def test_a_hanging_read_is_answered_by_another_server(hedged_path):
-    hedged_path.set_faults(_HANGS, {})
+def test_hanging_read_is_hedged_to_another_server(hedged_path):
+    hedged_path.set_faults(_HANGING, {})
     slow = hedged_path.backends[0]
-    # A server without any latency yet is the cheapest, so that the slow one
-    # gets one of the first requests.
+    # A new dispatcher has no latencies; it prefers servers without one, so the
+    # slow server gets one of the first requests.
     hedged_path.handler.reconfigure({})
     hedged_path.configure(
         retries=core.RetrySettings(hedge_quantile=0.9, max_attempts=1)
     )
     before = len(slow.runs)
     for number in range(3):
-        # Without the cancellation the slow attempt would last this long.
-        answer = send(
+        # Without cancellation the slow attempt would take this long.
+        response = send(
             hedged_path,
             "GET",
             request_id=f"r{number}",
             X_Request_Timeout_Ms=30_000,
         )
-        assert answer.status == 200
+        assert response.status == 200
     assert len(slow.runs) > before
     wait_until(lambda: slow.in_flight == 0)
     hedged_path.assert_released()
 
 
 def test_writes_are_never_hedged(hedged_path):
-    hedged_path.set_faults(_HANGS, _HANGS)
-    answer = send(hedged_path, request_id="w", X_Request_Timeout_Ms=200)
-    assert (answer.outcome, hedged_path.runs("w")) == ("unknown", 1)
+    hedged_path.set_faults(_HANGING, _HANGING)
+    response = send(hedged_path, request_id="w", X_Request_Timeout_Ms=200)
+    assert (response.outcome, hedged_path.runs("w")) == ("unknown", 1)
 
 
 def test_hedges_stay_within_the_retry_budget(hedged_path):
@@ -62,13 +62,15 @@
             hedge_quantile=0.9, max_attempts=1, budget_ratio=0.0
         )
     )
-    hedged_path.set_faults(_HANGS, _HANGS)
-    answer = send(hedged_path, "GET", request_id="r", X_Request_Timeout_Ms=200)
-    assert (answer.problem, hedged_path.runs("r")) == ("answer-late", 1)
+    hedged_path.set_faults(_HANGING, _HANGING)
+    response = send(
+        hedged_path, "GET", request_id="r", X_Request_Timeout_Ms=200
+    )
+    assert (response.problem, hedged_path.runs("r")) == ("answer-late", 1)
 
 
-def test_a_caller_that_leaves_cancels_both_attempts(hedged_path):
-    hedged_path.set_faults(_HANGS, _HANGS)
+def test_caller_disconnect_cancels_both_attempts(hedged_path):
+    hedged_path.set_faults(_HANGING, _HANGING)
     sock = hedged_path.connect()
     sock.sendall(render("GET", request_id="r", X_Request_Timeout_Ms=30_000))
     wait_until(lambda: hedged_path.runs("r") == 2)
@@ -85,10 +87,10 @@
         ("CONNECT_FAILED", "ANSWER_LATE", "answer-late"),
     ],
 )
-def test_two_failed_attempts_never_hide_the_doubtful_one(
+def test_unknown_outcome_takes_precedence_over_not_run(
     first, second, expected
 ):
-    """A refusal that says "not run" would be false."""
+    """The outcome NOT_RUN would be wrong, since one attempt may have run."""
 
     def fail(name):
         gevent.sleep(0.01)
--- a/wigeonrouter/request_path/_request_ids.py
+++ b/wigeonrouter/request_path/_request_ids.py
@@ -1,6 +1,6 @@
-"""Remembers the ids of non-idempotent requests.
+"""Table of the ids of recent non-idempotent requests.
 
-The id names the daemon process that remembers it, so that a repeat at
+An id names the daemon instance whose table holds it, so that a duplicate at
 another daemon can be checked without shared state.
 """
 
@@ -11,9 +11,9 @@
 
 RETENTION_S = 120.0
 MAX_IDS = 200_000
-# Bounds the memory of the table; ids of callers are chosen by them.
+# Callers choose their ids; the limit bounds the memory of the table.
 MAX_ID_LENGTH = 200
-# Callers' clocks may differ from ours by this much.
+# Largest accepted difference between clocks of callers and daemons.
 CLOCK_TOLERANCE_S = 5.0
 IN_PROGRESS = "in-progress"
 MOVED = "moved"
@@ -23,7 +23,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RequestId:
-    """A request id of the form prefix.milliseconds.random."""
+    """A parsed request id, ``daemon_id~instance.time_ms.nonce``.
+
+    Attributes:
+      daemon_id: id of the daemon that owns the request id.
+      instance: number of that daemon's process.
+      time_ms: Unix time of creation by the caller's clock, milliseconds.
+    """
 
     daemon_id: str
     instance: int
@@ -32,7 +38,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _Entry:
-    """What is known of one id; claimant is "" unless the id was moved."""
+    """State of one id.
+
+    Attributes:
+      started: time of the first request, seconds on the monotonic clock.
+      state: IN_PROGRESS, MOVED or the value of a core.Outcome.
+      claimant: id and instance of the daemon that the id was moved to, else
+        empty.
+    """
 
     started: float
     state: str
@@ -40,8 +53,8 @@
 
 
 def parse_request_id(text):
-    """Return the RequestId, or None for an id of any other form."""
-    # A daemon id may contain dots.
+    """Return a RequestId, or None if the text has another form."""
+    # Splits at "~" first, because a daemon id may contain dots.
     prefix, separator, rest = text.partition("~")
     instance, _, rest = rest.partition(".")
     time_ms, _, nonce = rest.partition(".")
@@ -57,13 +70,13 @@
 
 
 def check_age(*, time_ms, now):
-    """Return a core.Problem where an id may have been forgotten.
+    """Return a core.Problem if the table may have expired an id.
 
     Args:
       time_ms: Unix time in the id, milliseconds.
       now: Unix time, seconds.
     Returns:
-      None where the table still holds the id if it was ever there.
+      None if the id is in the table in case it was ever recorded.
     """
     age = now - time_ms / 1000
     if age > RETENTION_S - CLOCK_TOLERANCE_S:
@@ -71,13 +84,13 @@
     if age < -CLOCK_TOLERANCE_S:
         return core.Problem(
             problem=core.problems.BAD_REQUEST,
-            detail="the request id is from the future",
+            detail="the time in the request id is in the future",
         )
     return None
 
 
-def refuse_state(state):
-    """Return the core.Problem that follows from the state of an id."""
+def failure_for_state(state):
+    """Return the core.Problem for a request whose id has this state."""
     if state == IN_PROGRESS:
         return core.Problem(problem=core.problems.DUPLICATE_IN_PROGRESS)
     if state == TABLE_FULL:
@@ -90,7 +103,13 @@
 
 
 class RequestIdTable:
-    """Owns the ids that this daemon has seen."""
+    """Holds the ids of requests until their retention ends.
+
+    Args:
+      clock: monotonic clock, seconds.
+      max_ids: largest number of ids; a full table accepts no new ones.
+      retention: seconds from the first request.
+    """
 
     def __init__(self, *, clock, max_ids=MAX_IDS, retention=RETENTION_S):
         self._clock = clock
@@ -101,19 +120,19 @@
     def __len__(self):
         return len(self._entries)
 
-    def check(self, request_id):
-        """Return the core.Problem of a known id, or None."""
+    def find_failure(self, request_id):
+        """Return the core.Problem for a recorded id, or None."""
         self._expire()
         known = self._entries.get(request_id)
-        return refuse_state(known.state) if known else None
+        return failure_for_state(known.state) if known else None
 
     def begin(self, request_id):
         """Record an id before its request is forwarded.
 
         Returns:
-          None where the request may be forwarded, else a core.Problem.
+          None if the request may be forwarded, else a core.Problem.
         """
-        failure = self.check(request_id)
+        failure = self.find_failure(request_id)
         if failure is None and len(self._entries) >= self._max_ids:
             failure = core.Problem(problem=core.problems.ID_TABLE_FULL)
         if failure is None:
@@ -123,10 +142,10 @@
         return failure
 
     def finish(self, request_id, outcome):
-        """Record how a request ended.
+        """Record the core.Outcome of a request.
 
-        A request that provably did not run may be sent again, so its id is
-        forgotten.
+        The id of a request that did not run is deleted, so that the caller
+        can send the request again.
         """
         known = self._entries.get(request_id)
         if known is None:
@@ -139,21 +158,21 @@
         )
 
     def claim(self, request_id, claimant):
-        """Hand an id over to another daemon.
+        """Record that another daemon handles the request with an id.
 
         Args:
           request_id: text.
-          claimant: id and instance of the other daemon. The same one may
-            claim again, since the first reply may have been lost.
+          claimant: id and instance of the other daemon, as text. The same
+            claimant may repeat its claim, since the reply may have been lost.
         Returns:
-          None where the id was never seen and is now the claimant's, else
-          the state of the id.
+          None if the claim is granted, else the state of the id or
+          TABLE_FULL.
         """
         self._expire()
         known = self._entries.get(request_id)
         if known is not None:
-            mine = known.state == MOVED and known.claimant == claimant
-            return None if mine else known.state
+            same_claimant = known.state == MOVED and known.claimant == claimant
+            return None if same_claimant else known.state
         if len(self._entries) >= self._max_ids:
             return TABLE_FULL
         self._entries[request_id] = _Entry(
@@ -170,7 +189,7 @@
                 return
             del self._entries[request_id]
             if entry.state == IN_PROGRESS:
-                # Forgetting a running request would let it run again.
+                # Without the id a duplicate could run concurrently.
                 self._entries[request_id] = dataclasses.replace(
                     entry, started=now
                 )
--- a/wigeonrouter/request_path/_request_rules.py
+++ b/wigeonrouter/request_path/_request_rules.py
@@ -1,4 +1,7 @@
-"""What follows from a failed attempt: pure functions."""
+"""Retry decisions and the parsing of request and response headers.
+
+The functions are pure.
+"""
 
 import functools
 
@@ -6,18 +9,18 @@
 
 
 def may_retry(*, kind, failure, attempt, max_attempts, now, deadline):
-    """Return whether a request may be sent to another server.
+    """Return whether a failed attempt may be retried on another server.
 
     Args:
       kind: core.TrafficKind.
-      refusal: core.Problem of the failed attempt.
+      failure: core.Problem of the failed attempt.
       attempt: number of the failed attempt, 1 for the first.
-      max_attempts: bound on attempts.
+      max_attempts: largest number of attempts of a request.
       now: seconds on the monotonic clock.
       deadline: the request's deadline on the same clock.
     Returns:
-      True where a further attempt is safe and worth it. The retry budget is
-      the caller's business.
+      True where another attempt is safe and there is time for it. The retry
+      budget is not considered here.
     """
     if attempt >= max_attempts or now >= deadline:
         return False
@@ -26,35 +29,37 @@
     return kind.idempotent
 
 
-def final_refusal(*, failure, doubtful):
-    """Return the refusal that the caller gets.
+def final_failure(*, failure, unknown_failure):
+    """Return the failure that is reported to the caller.
 
-    A refusal that says "not run" is true only where no earlier attempt is in
-    doubt.
+    The outcome NOT_RUN holds for the request only if no earlier attempt has
+    the outcome UNKNOWN; otherwise the failure of that attempt is reported.
 
     Args:
-      refusal: core.Problem of the last attempt.
-      doubtful: core.Problem of an earlier attempt in doubt, or None.
+      failure: core.Problem of the last attempt.
+      unknown_failure: core.Problem of an earlier attempt with the outcome
+        UNKNOWN, or None.
     Returns:
       A core.Problem.
     """
     if (
-        doubtful is not None
+        unknown_failure is not None
         and failure.problem.outcome is core.Outcome.NOT_RUN
     ):
-        return doubtful
+        return unknown_failure
     return failure
 
 
 def parse_timeout(*, text, kind, limits):
-    """Return the time that a request has, in seconds.
+    """Return the timeout of a request, in seconds.
 
     Args:
       text: value of X-Request-Timeout-Ms, possibly empty.
       kind: core.TrafficKind.
       limits: core.LimitSettings.
     Returns:
-      Seconds, or None where the text is no positive whole number.
+      Seconds, at most limits.max_timeout. None where the text is not a
+      positive integer.
     """
     if not text:
         timeout = kind.timeout or limits.default_timeout
@@ -71,11 +76,11 @@
     Args:
       text: for instance ``in_flight=1, slots=2, state=ready``.
       now: seconds on the monotonic clock.
-      own_in_flight: requests of this daemon that the server ran, the
-        answered one not included.
+      own_in_flight: requests of this daemon that are in flight to the
+        server, without the one that this response belongs to.
     Returns:
-      A core.LoadReport, or None where the text is malformed; a report is
-      never worth failing a request.
+      A core.LoadReport, or None where the text is malformed: a bad report
+      must not fail the request.
     """
     values = _load_values(text)
     if values is None:
@@ -90,7 +95,7 @@
     )
 
 
-# Loads are small numbers, so that the same texts come again and again.
+# Loads are small integers, so a few texts make up nearly all headers.
 @functools.lru_cache(maxsize=1024)
 def _load_values(text):
     values = {}
--- a/wigeonrouter/request_path/_server_stop_test.py
+++ b/wigeonrouter/request_path/_server_stop_test.py
@@ -1,4 +1,4 @@
-"""Requests that arrive while the caller server stops."""
+"""Guards requests that arrive while the caller server is stopping."""
 
 import gevent
 from gevent import socket
@@ -10,8 +10,8 @@
 _REQUEST = b"GET /%d HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-class _Echo:
-    """Handler that answers with the request's target after a while."""
+class _EchoHandler:
+    """Handler that responds with the request target after 20 ms."""
 
     def body_limit(self, request):
         return 1000
@@ -28,7 +28,7 @@
     """A CallerServer on a free port."""
     started = request_path.CallerServer(
         address=core.Address(host="127.0.0.1", port=0),
-        handler=_Echo(),
+        handler=_EchoHandler(),
     )
     started.start()
     yield started
@@ -53,15 +53,15 @@
 
 
 def test_request_in_the_receive_buffer_is_answered(server, connection):
-    """Guards against a request that is lost as its connection seems idle."""
+    """Guards against closing a connection with an unread request as idle."""
     connection.sendall(_REQUEST % 1)
-    # No task has run since, so the server has not read the request.
+    # No other task has run since, so the server has not read the request.
     server.stop()
     assert _read_all(connection).endswith(b"/1")
 
 
-def test_half_arrived_request_is_answered(server, connection):
-    """Guards against closing a connection on which a request arrives."""
+def test_partially_received_request_is_answered(server, connection):
+    """Guards against closing a connection in the middle of a request."""
     request = _REQUEST % 1
     connection.sendall(request[:10])
     gevent.sleep(0.02)
@@ -73,15 +73,15 @@
 
 
 def test_pipelined_request_is_answered_while_draining(server, connection):
-    """Guards against Connection: close before a request that has arrived."""
+    """Guards against Connection: close while a pipelined request waits."""
     server.drain()
     connection.sendall(_REQUEST % 1 + _REQUEST % 2)
-    answers = _read_all(connection)
-    assert b"/1" in answers and answers.endswith(b"/2")
+    responses = _read_all(connection)
+    assert b"/1" in responses and responses.endswith(b"/2")
 
 
 def test_idle_connection_does_not_delay_the_stop(server, connection):
-    """Guards against a stop that waits for callers that send nothing."""
+    """Guards against a stop that waits for idle connections."""
     with gevent.Timeout(10):
         server.stop()
     assert _read_all(connection) == b""
--- a/wigeonrouter/request_path/_server_test.py
+++ b/wigeonrouter/request_path/_server_test.py
@@ -1,4 +1,4 @@
-"""Guards the caller side: limits, odd requests, slow and idle callers."""
+"""Guards the caller server: limits, invalid requests, slow or idle callers."""
 
 import time
 
@@ -7,7 +7,7 @@
 from wigeonrouter.http1 import _caller_connection
 from wigeonrouter.http1 import _pauses
 from wigeonrouter.request_path.conftest import PathHarness
-from wigeonrouter.request_path.conftest import receive_answer
+from wigeonrouter.request_path.conftest import receive_response
 from wigeonrouter.request_path.conftest import render
 from wigeonrouter.request_path.conftest import send
 from wigeonrouter.request_path.conftest import wait_until
@@ -18,7 +18,7 @@
 def _send_raw(path, data, method="POST"):
     with path.connect() as sock:
         sock.sendall(data)
-        return receive_answer(sock, method)
+        return receive_response(sock, method)
 
 
 @pytest.mark.parametrize(
@@ -36,35 +36,35 @@
         ),
     ],
 )
-def test_the_body_limit_applies_before_the_body_arrives(path, head, problem):
+def test_body_limit_is_checked_before_the_body_arrives(path, head, problem):
     path.configure(max_body_bytes=100)
-    answer = _send_raw(path, _HEAD + head)
-    assert (answer.problem, answer.outcome) == (problem, "not-run")
+    response = _send_raw(path, _HEAD + head)
+    assert (response.problem, response.outcome) == (problem, "not-run")
 
 
-def test_a_body_for_no_service_is_refused_before_it_arrives(path):
+def test_request_without_a_route_is_refused_before_its_body_arrives(path):
     path.handler.reconfigure({})
-    answer = _send_raw(path, _HEAD + b"Content-Length: 999999\r\n\r\n")
-    assert answer.problem == "no-route"
+    response = _send_raw(path, _HEAD + b"Content-Length: 999999\r\n\r\n")
+    assert response.problem == "no-route"
 
 
-def test_a_small_body_over_the_limit_keeps_the_connection(path):
+def test_small_body_over_the_limit_keeps_the_connection_open(path):
     path.configure(max_body_bytes=5)
     with path.connect() as sock:
         sock.sendall(render(body=b"123456", request_id="w"))
-        assert receive_answer(sock).problem == "body-too-large"
+        assert receive_response(sock).problem == "body-too-large"
         sock.sendall(render(body=b"12345", request_id="w"))
-        assert receive_answer(sock).status == 200
+        assert receive_response(sock).status == 200
 
 
-def test_expect_continue_is_answered_once_the_limit_allows(path):
+def test_expect_continue_is_sent_if_the_body_limit_allows(path):
     with path.connect() as sock:
         sock.sendall(
             _HEAD + b"Content-Length: 2\r\nExpect: 100-continue\r\n\r\n"
         )
         assert sock.recv(100) == b"HTTP/1.1 100 Continue\r\n\r\n"
         sock.sendall(b"ab")
-        assert b'"echo": "ab"' in receive_answer(sock).body
+        assert b'"echo": "ab"' in receive_response(sock).body
 
 
 @pytest.mark.parametrize(
@@ -85,7 +85,7 @@
         ("http://u@/r", "a", 400),
     ],
 )
-def test_odd_targets(path, target, host, status):
+def test_forms_of_request_targets(path, target, host, status):
     data = f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
     assert _send_raw(path, data).status == status
 
@@ -105,21 +105,21 @@
         b"X-Request-Timeout-Ms: 1e3",
     ],
 )
-def test_control_headers_have_one_meaning(path, line):
-    answer = _send_raw(
+def test_ambiguous_or_invalid_control_headers_are_refused(path, line):
+    response = _send_raw(
         path, _HEAD + b"Content-Length: 0\r\n" + line + b"\r\n\r\n"
     )
-    assert (answer.problem, answer.outcome) == ("bad-request", "not-run")
+    assert (response.problem, response.outcome) == ("bad-request", "not-run")
 
 
-def test_connection_cannot_remove_the_request_id(path):
-    """The backend server would run a repeat that it should recognise."""
+def test_connection_header_cannot_remove_the_request_id(path):
+    """Without the id a backend server could not detect a duplicate."""
     send(path, request_id="kept", Connection="x-request-id, x-hop", X_Hop="1")
     assert path.runs("kept") == 1
 
 
-def test_encoded_paths_get_the_kind_of_the_decoded_path(path):
-    """A write must not be retried because its path was spelled oddly."""
+def test_traffic_kind_is_that_of_the_decoded_path(path):
+    """A write with an encoded path must not be retried like a read."""
     path.set_faults(*[{"raw": " ", "close": True}] * 2)
     send(path, request_id="w", target="/s/%77")
     assert path.runs("w") == 1
@@ -139,14 +139,14 @@
     assert ids == sorted(ids)
 
 
-def test_a_refusal_to_head_has_no_body(path):
-    """The body would be taken for the response to the next request."""
+def test_error_response_to_head_has_no_body(path):
+    """The caller would read the body as the response to its next request."""
     path.handler.reconfigure({})
     with path.connect() as sock:
         for _ in range(2):
             sock.sendall(render("HEAD"))
-            answer = receive_answer(sock, "HEAD")
-            assert (answer.status, answer.whole) == (404, True)
+            response = receive_response(sock, "HEAD")
+            assert (response.status, response.whole) == (404, True)
 
 
 @pytest.mark.parametrize(
@@ -165,13 +165,13 @@
     with path.connect() as sock:
         sock.sendall(sent)
         if problem:
-            answer = receive_answer(sock)
-            assert (answer.problem, answer.outcome) == (problem, "not-run")
+            response = receive_response(sock)
+            assert (response.problem, response.outcome) == (problem, "not-run")
         assert sock.recv(1) == b""
     wait_until(lambda: path.server.connections == 0)
 
 
-def test_idle_connections_give_way_to_new_ones(backends):
+def test_idle_connections_are_closed_for_new_ones(backends):
     path = PathHarness(backends, max_connections=3)
     idle = [path.connect() for _ in range(3)]
     wait_until(lambda: path.server.connections == 3)
@@ -181,7 +181,7 @@
     path.server.stop()
 
 
-def test_busy_connections_are_not_given_up_for_new_ones(backends):
+def test_busy_connections_are_not_closed_for_new_ones(backends):
     path = PathHarness(backends, max_connections=2)
     path.set_faults({"silent": True}, {"silent": True})
     busy = [path.connect() for _ in range(2)]
@@ -189,7 +189,7 @@
         sock.sendall(render(request_id=f"w{number}"))
     wait_until(lambda: path.runs("w0") + path.runs("w1") == 2)
     with path.connect() as sock:
-        assert receive_answer(sock).problem == "too-many-connections"
+        assert receive_response(sock).problem == "too-many-connections"
     assert path.server.requests_in_progress == 2
     for sock in busy:
         sock.close()
@@ -197,26 +197,26 @@
     path.server.stop()
 
 
-def test_a_drained_server_finishes_requests_and_closes(path):
+def test_draining_caller_server_finishes_requests_and_closes(path):
     path.set_faults({"delay_ms": 100}, {"delay_ms": 100})
     with path.connect() as sock:
         sock.sendall(render(request_id="w"))
         wait_until(lambda: path.server.requests_in_progress == 1)
         path.server.drain()
-        answer = receive_answer(sock)
-        assert answer.status == 200
-        assert answer.headers[b"connection"] == b"close"
+        response = receive_response(sock)
+        assert response.status == 200
+        assert response.headers[b"connection"] == b"close"
         assert sock.recv(1) == b""
 
 
-def test_a_failure_of_the_daemon_is_an_unknown_outcome(path, monkeypatch):
+def test_internal_error_has_an_unknown_outcome(path, monkeypatch):
     monkeypatch.setattr(path.handler, "_forwarder", None)
-    answer = send(path, request_id="w")
-    assert (answer.problem, answer.outcome) == ("internal", "unknown")
+    response = send(path, request_id="w")
+    assert (response.problem, response.outcome) == ("internal", "unknown")
 
 
-def test_requests_read_after_a_pause_count_from_its_start(path):
-    """The caller of a request that lay in the socket may have given up."""
+def test_requests_read_after_a_pause_are_timed_from_its_start(path):
+    """The caller of a request that waited in the socket may have timed out."""
     now = [0.0]
     pauses = _pauses.PauseDetector(clock=lambda: now[0])
     now[0] = 0.1
@@ -234,13 +234,11 @@
     now[0] = time.monotonic()
     pauses._last_tick = now[0] - 60
     pauses.tick()
-    answer = send(path, request_id="w")
-    assert (answer.problem, path.runs("w")) == ("deadline-passed", 0)
+    response = send(path, request_id="w")
+    assert (response.problem, path.runs("w")) == ("deadline-passed", 0)
 
 
-def test_an_answer_that_the_caller_does_not_read_is_given_up(
-    path, monkeypatch
-):
+def test_response_that_the_caller_does_not_read_times_out(path, monkeypatch):
     monkeypatch.setattr(_caller_connection, "SEND_TIMEOUT_S", 0.2)
     raw = "HTTP/1.1 200 OK\r\nContent-Length: 8000000\r\n\r\n" + "x" * 8000000
     path.set_faults({"raw": raw}, {"raw": raw})
--- a/wigeonrouter/request_path/conftest.py
+++ b/wigeonrouter/request_path/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the request path: a server in front of two stand-ins."""
+"""Fixtures: a caller server and handler with two backend stand-ins."""
 
 import json
 import random
@@ -25,7 +25,7 @@
 
 
 class PathHarness:
-    """One request path of a daemon with a service of two backend servers."""
+    """Caller server and request handler with one service on two servers."""
 
     def __init__(self, backends, *, daemon_id="d1", claim=None, **server):
         self.backends = backends
@@ -55,7 +55,7 @@
         self.server.start()
 
     def configure(self, *, retries=None, **limits):
-        """Set the retries and limits of the service."""
+        """Apply the retry settings and limits to the service."""
         service = core.EffectiveService(
             name="/s",
             match=core.MatchSettings(path_prefixes=("/",)),
@@ -74,22 +74,22 @@
         self.handler.reconfigure({"/s": service})
 
     def set_faults(self, *faults):
-        """Set the faults of the backend servers, in order."""
+        """Set one fault for each backend server, in order."""
         for backend, fault in zip(self.backends, faults, strict=True):
             backend.set_fault(**fault)
 
     def runs(self, request_id):
-        """Return how often the backend servers ran a request."""
+        """Return how many times the backend servers ran a request."""
         return sum(b.runs.get(request_id, 0) for b in self.backends)
 
     def connect(self):
-        """Return a connected socket of a caller."""
+        """Return a new caller connection."""
         return socket.create_connection(
             ("127.0.0.1", self.server.port), timeout=10
         )
 
     def assert_released(self):
-        """Check that no slot, permit or in-progress id was leaked."""
+        """Wait until all slots and permits are released; check the queues."""
         wait_until(
             lambda: (
                 self.handler.connections_in_use == 0
@@ -104,11 +104,12 @@
             assert dispatcher.queue_length == 0
 
 
-class Answer:
-    """A response as a caller reads it.
+class CallerResponse:
+    """A response that a caller received.
 
     Attributes:
-      whole: whether it ended where its header says, without surplus bytes.
+      whole: whether the connection is reusable, that is, the response ended
+        where its headers say and no surplus bytes followed.
     """
 
     def __init__(self, response, whole):
@@ -138,26 +139,28 @@
     return head + (body if method == "POST" else b"")
 
 
-def receive_answer(sock, method="POST"):
-    """Read one Answer from a caller's socket."""
+def receive_response(sock, method="POST"):
+    """Read one CallerResponse from a caller's socket."""
     response, whole = request_path.read_response(
         receive=lambda: sock.recv(65536),
         method=method.encode(),
         max_bytes=1 << 24,
     )
-    return Answer(response, whole)
+    return CallerResponse(response, whole)
 
 
 def send(path, method="POST", **request):
-    """Send one request on a new connection and return its Answer."""
+    """Send a request on a new connection; return its CallerResponse."""
     with path.connect() as sock:
         sock.sendall(render(method, **request))
-        return receive_answer(sock, method)
+        return receive_response(sock, method)
 
 
 def wait_until(condition, seconds=10.0):
-    """Wait for a condition; fails after a time that a slow machine needs."""
-    with gevent.Timeout(seconds, AssertionError("condition never held")):
+    """Wait until a condition holds; the timeout allows for slow machines."""
+    with gevent.Timeout(
+        seconds, AssertionError("condition did not hold in time")
+    ):
         while not condition():
             gevent.sleep(0.005)
 
