--- a/wigeonrouter/request_path/_forwarder.py
+++ b/wigeonrouter/request_path/_forwarder.py
@@ -69,7 +69,7 @@
         """
         retries = forwarding.dispatcher.service.retries
         # A hedged request is an attempt in addition to max_attempts.
-        forwarding.allowance = limits.parse_allowance(
+        forwarding.allowance = limits.parse_retry_allowance(
             text=forwarding.request.header(b"x-retry-budget"),
             max_attempts=retries.max_attempts + (retries.hedge_quantile > 0),
         )
