--- a/wigeonrouter/administration/_entries.py
+++ b/wigeonrouter/administration/_entries.py
@@ -44,7 +44,7 @@
 
     def __init__(self, *, daemon):
         self._daemon = daemon
-        self._planner = entries.EntryPlanner()
+        self._planner = entries.EntryRankingCache()
 
     def on_get(self, req, resp):
         if not self._daemon.configured:
--- a/wigeonrouter/bench/_capacity_parts.py
+++ b/wigeonrouter/bench/_capacity_parts.py
@@ -102,7 +102,7 @@
         routing=core.RoutingSettings(homes=2),
     )
     rng = random.Random(1)
-    planner = entries.EntryPlanner()
+    planner = entries.EntryRankingCache()
     query = {"service": service, "place": _place(1), "rng": rng}
     return {
         "choose_cpu_s": _measuring.cpu_seconds_each(
--- a/wigeonrouter/dispatch/_dispatcher.py
+++ b/wigeonrouter/dispatch/_dispatcher.py
@@ -195,9 +195,9 @@
         self._schedule_dispatch()
         return WaitingRequest(entry=entry)
 
-    def cancel_waiting(self, ticket):
+    def cancel_waiting(self, waiting):
         """Remove a request from the queue; no effect if it is not queued."""
-        self._queue.remove(ticket.entry)
+        self._queue.remove(waiting.entry)
 
     def release(self, grant, attempt):
         """Release a slot and update the server from the result of the attempt.
--- a/wigeonrouter/entries/__init__.py
+++ b/wigeonrouter/entries/__init__.py
@@ -1,10 +1,10 @@
-"""Which daemons callers should use for a service."""
+"""Selects the daemons that callers should use for a service."""
 
 from wigeonrouter.entries import _homes
-from wigeonrouter.entries import _planner
+from wigeonrouter.entries import _ranking_cache
 
 Entry = _homes.Entry
-EntryPlanner = _planner.EntryPlanner
+EntryRankingCache = _ranking_cache.EntryRankingCache
 
 choose_entries = _homes.choose_entries
 home_members = _homes.home_members
--- a/wigeonrouter/entries/_homes.py
+++ b/wigeonrouter/entries/_homes.py
@@ -1,22 +1,29 @@
-"""Home daemons of services and answers to "which entry"."""
+"""Home daemons of services, and the entries that callers are given.
+
+An entry is a daemon address that a caller may use. The home daemons of a
+service are chosen by rendezvous hashing.
+"""
 
 import dataclasses
 
 from wigeonrouter import core
 
-# Enough for a caller to survive the loss of a failure domain or, by the
-# entries of other regions, of its whole region.
+# With this many entries a caller survives the loss of a failure domain or,
+# with the entries of other regions, of its whole region.
 MAX_OWN_REGION_ENTRIES = 4
 MAX_OTHER_REGION_ENTRIES = 2
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Entry:
-    """One address that a caller may use.
+    """An address that a caller may use.
 
     Attributes:
-      request_id_prefix: start of the request ids that the caller forms for
-        requests that it sends to this address first.
+      address: core.Address for callers.
+      request_id_prefix: prefix of the request ids that the caller generates
+        for requests that it sends to this address first.
+      place: core.Place of the daemon.
+      home: whether the daemon is a home of the service.
     """
 
     address: core.Address
@@ -26,20 +33,20 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Ranking:
-    """The daemons that callers of one place may use for a service.
+class EntryRanking:
+    """The daemons for callers at one place and one service, ranked.
 
     Attributes:
       homes: tuple of core.Member, the first home first.
-      others: tuple of core.Member, in the order in which they follow.
+      fallbacks: tuple of core.Member that follow the homes, in order.
     """
 
     homes: tuple[core.Member, ...]
-    others: tuple[core.Member, ...]
+    fallbacks: tuple[core.Member, ...]
 
 
 def request_id_prefix(member):
-    """Return the start of request ids that name a daemon's process."""
+    """Return the prefix of request ids that identifies a daemon process."""
     return f"{member.daemon_id}~{member.instance}"
 
 
@@ -47,106 +54,114 @@
     """Return the home daemons of a service for callers at a place.
 
     Args:
-      service: a core.EffectiveService.
+      service: core.EffectiveService.
       place: core.Place of the caller.
-      members: an iterable of the members that are alive.
+      members: iterable of the alive members.
     Returns:
-      A list of core.Member, the first home first; empty where no daemon of
-      the area is alive.
+      A list of core.Member, the first home first; empty if no daemon of the
+      caller's region or failure domain is alive.
     """
-    area = _area(service.routing.entry_scope)
-    own = area(place)
-    local = [member for member in members if area(member.place) == own]
-    return _ranked(service, local)[: service.routing.homes]
+    area_key = _area_key(service.routing.entry_scope)
+    own_area = area_key(place)
+    local = [
+        member for member in members if area_key(member.place) == own_area
+    ]
+    return _rank_members(service, local)[: service.routing.homes]
 
 
 def choose_entries(*, service, place, members, rng):
-    """Order the entries that a caller should use.
+    """Return the entries for a caller, in order of preference.
 
-    The homes come first, those of the caller's failure domain before the
-    others. The daemon that would be home next comes next, so that callers
-    whose home died meet again at one daemon.
+    The homes come first, those in the caller's failure domain before the
+    others. Next is the daemon that would become a home if one failed, so that
+    all callers of a failed home move to the same daemon.
 
     Args:
-      service: a core.EffectiveService, or None where none was named.
+      service: core.EffectiveService, or None if the caller named none.
       place: core.Place of the caller.
-      members: an iterable of the members that are alive.
-      rng: random.Random; spreads callers over equal entries.
+      members: iterable of the alive members.
+      rng: random.Random; spreads callers over equivalent entries.
     Returns:
       A tuple of Entry: the caller's region first, then other regions.
     """
     if service is None:
-        return _name_entries(
-            ranked=_by_distance(members=members, place=place, rng=rng),
+        return _make_entries(
+            ranked=_sort_by_distance(members=members, place=place, rng=rng),
             place=place,
-            named=frozenset(),
+            home_ids=frozenset(),
         )
     ranking = rank_entries(service=service, place=place, members=members)
-    return entries_of(ranking=ranking, place=place, rng=rng)
+    return build_entries(ranking=ranking, place=place, rng=rng)
 
 
 def rank_entries(*, service, place, members):
-    """Rank the daemons for a service; depends on the arguments alone.
+    """Rank the daemons for a service; deterministic in its arguments.
 
     Args:
-      service: a core.EffectiveService.
+      service: core.EffectiveService.
       place: core.Place of the caller.
-      members: an iterable of the members that are alive.
+      members: iterable of the alive members.
     Returns:
-      A Ranking.
+      An EntryRanking.
     """
     homes = home_members(service=service, place=place, members=members)
-    named = {member.daemon_id for member in homes}
-    others = [
+    home_ids = {member.daemon_id for member in homes}
+    fallbacks = [
         member
-        for member in _ranked(service, members)
-        if member.daemon_id not in named
+        for member in _rank_members(service, members)
+        if member.daemon_id not in home_ids
     ]
-    return Ranking(homes=tuple(homes), others=_select(others, place))
+    return EntryRanking(
+        homes=tuple(homes), fallbacks=_limit_per_region(fallbacks, place)
+    )
 
 
-def entries_of(*, ranking, place, rng):
-    """Turn a Ranking into the entries for one caller.
+def build_entries(*, ranking, place, rng):
+    """Return the entries of an EntryRanking for one caller.
 
+    Args:
+      ranking: EntryRanking.
+      place: core.Place of the caller.
+      rng: random.Random.
     Returns:
-      A tuple of Entry; homes that are equally near come in random order.
+      A tuple of Entry; homes at equal distance are in random order.
     """
-    homes = _by_distance(members=ranking.homes, place=place, rng=rng)
-    named = frozenset(member.daemon_id for member in homes)
-    return _name_entries(
-        ranked=[*homes, *ranking.others], place=place, named=named
+    homes = _sort_by_distance(members=ranking.homes, place=place, rng=rng)
+    home_ids = frozenset(member.daemon_id for member in homes)
+    return _make_entries(
+        ranked=[*homes, *ranking.fallbacks], place=place, home_ids=home_ids
     )
 
 
-def _by_distance(*, members, place, rng):
+def _sort_by_distance(*, members, place, rng):
     members = list(members)
     rng.shuffle(members)
     members.sort(key=lambda member: _distance(member.place, place))
     return members
 
 
-def _select(ranked, place):
-    near = [m for m in ranked if m.place.region == place.region]
-    far = [m for m in ranked if m.place.region != place.region]
+def _limit_per_region(ranked, place):
+    same_region = [m for m in ranked if m.place.region == place.region]
+    other_regions = [m for m in ranked if m.place.region != place.region]
     return (
-        *near[:MAX_OWN_REGION_ENTRIES],
-        *_spread_over_regions(far)[:MAX_OTHER_REGION_ENTRIES],
+        *same_region[:MAX_OWN_REGION_ENTRIES],
+        *_spread_over_regions(other_regions)[:MAX_OTHER_REGION_ENTRIES],
     )
 
 
-def _name_entries(*, ranked, place, named):
+def _make_entries(*, ranked, place, home_ids):
     return tuple(
         Entry(
             address=member.caller_address,
             request_id_prefix=request_id_prefix(member),
             place=member.place,
-            home=member.daemon_id in named,
+            home=member.daemon_id in home_ids,
         )
-        for member in _select(ranked, place)
+        for member in _limit_per_region(ranked, place)
     )
 
 
-def _ranked(service, members):
+def _rank_members(service, members):
     by_id = {member.daemon_id: member for member in members}
     return [
         by_id[daemon_id]
@@ -155,18 +170,18 @@
 
 
 def _spread_over_regions(members):
-    """Put the first member of each region before further ones."""
-    firsts, rest, seen = [], [], set()
+    """Return the first member of each region before all other members."""
+    first_of_region, rest, seen_regions = [], [], set()
     for member in members:
-        if member.place.region in seen:
+        if member.place.region in seen_regions:
             rest.append(member)
         else:
-            seen.add(member.place.region)
-            firsts.append(member)
-    return firsts + rest
+            seen_regions.add(member.place.region)
+            first_of_region.append(member)
+    return first_of_region + rest
 
 
-def _area(scope):
+def _area_key(scope):
     if scope == "failure-domain":
         return lambda place: (place.region, place.failure_domain)
     return lambda place: place.region
--- a/wigeonrouter/entries/_homes_test.py
+++ b/wigeonrouter/entries/_homes_test.py
@@ -1,4 +1,4 @@
-"""Guards against callers that are sent apart, or to dead daemons."""
+"""Guards against services split over daemons, and entries of dead daemons."""
 
 import dataclasses
 import random
@@ -28,7 +28,7 @@
 
 
 _MEMBERS = tuple(_member(number) for number in range(18))
-_HERE = core.Place(region="north", failure_domain="north-0")
+_CALLER_PLACE = core.Place(region="north", failure_domain="north-0")
 
 
 def _service(name="/s", **routing):
@@ -39,7 +39,7 @@
     )
 
 
-def _choose(service, place=_HERE, members=_MEMBERS, seed=1):
+def _choose(service, place=_CALLER_PLACE, members=_MEMBERS, seed=1):
     return entries.choose_entries(
         service=service,
         place=place,
@@ -48,7 +48,7 @@
     )
 
 
-def test_all_callers_of_a_region_get_one_home():
+def test_all_callers_of_a_region_get_the_same_home():
     firsts = {
         _choose(
             _service(),
@@ -62,10 +62,10 @@
     assert len(firsts) == 1
 
 
-def test_the_second_entry_is_the_home_after_the_first_is_gone():
+def test_the_second_entry_becomes_the_home_when_the_first_fails():
     first, second = _choose(_service())[:2]
-    left = [m for m in _MEMBERS if m.caller_address != first.address]
-    assert _choose(_service(), members=left)[0].address == second.address
+    remaining = [m for m in _MEMBERS if m.caller_address != first.address]
+    assert _choose(_service(), members=remaining)[0].address == second.address
 
 
 @pytest.mark.parametrize("scope", ["region", "failure-domain"])
@@ -75,30 +75,31 @@
     assert len(homes) == 2
     assert all(entry.place.region == "north" for entry in homes)
     if scope == "failure-domain":
-        assert all(entry.place == _HERE for entry in homes)
+        assert all(entry.place == _CALLER_PLACE for entry in homes)
     else:
-        distances = [entry.place != _HERE for entry in homes]
+        distances = [entry.place != _CALLER_PLACE for entry in homes]
         assert distances == sorted(distances)
 
 
-def test_an_answer_survives_the_loss_of_the_region():
+def test_entries_include_every_region():
+    """Guards against a caller that loses all its entries with its region."""
     chosen = _choose(_service())
     assert {entry.place.region for entry in chosen} == set(_REGIONS)
 
 
-def test_a_region_without_daemons_is_served_by_others():
-    left = [m for m in _MEMBERS if m.place.region != "north"]
-    assert _choose(_service(), members=left)
+def test_a_region_without_daemons_gets_entries_of_others():
+    remaining = [m for m in _MEMBERS if m.place.region != "north"]
+    assert _choose(_service(), members=remaining)
     assert not _choose(_service(), members=())
 
 
-def test_without_a_service_the_own_failure_domain_comes_first():
+def test_without_a_service_the_callers_failure_domain_comes_first():
     firsts = {_choose(None, seed=seed)[0] for seed in range(30)}
-    assert all(entry.place == _HERE for entry in firsts)
+    assert all(entry.place == _CALLER_PLACE for entry in firsts)
     assert len(firsts) == 3
 
 
-def test_services_are_spread_over_the_daemons_of_a_region():
+def test_homes_are_spread_over_the_daemons_of_a_region():
     counts = {}
     for number in range(600):
         first = _choose(_service(f"/service-{number}"))[0].address
@@ -108,16 +109,16 @@
 
 
 def test_the_loss_of_a_daemon_moves_only_its_own_services():
-    gone = _MEMBERS[0]
-    left = _MEMBERS[1:]
+    lost = _MEMBERS[0]
+    remaining = _MEMBERS[1:]
     for number in range(200):
         service = _service(f"/service-{number}")
         before = _choose(service)[0].address
-        after = _choose(service, members=left)[0].address
-        assert after == before or before == gone.caller_address
+        after = _choose(service, members=remaining)[0].address
+        assert after == before or before == lost.caller_address
 
 
-def test_a_refuted_suspicion_does_not_invalidate_request_ids():
+def test_a_refuted_suspicion_keeps_the_request_id_prefix():
     member = _MEMBERS[0]
     refuted = dataclasses.replace(member, incarnation=member.incarnation + 1)
     restarted = dataclasses.replace(member, instance=member.instance + 1)
--- a/wigeonrouter/entries/_planner.py
+++ b/wigeonrouter/entries/_ranking_cache.py
@@ -1,23 +1,27 @@
-"""Keeps the rankings of entries between changes of the member view.
+"""Caches entry rankings until the member view changes.
 
-Ranking hashes every daemon that is alive. At several hundred of them that
-takes longer than the rest of an entry query, and the answer only changes
-with the view or the service.
+Ranking hashes every alive daemon. With several hundred daemons this takes
+longer than the rest of an entry query, and the result only changes with the
+member view or the service.
 """
 
 import collections
 
 from wigeonrouter.entries import _homes
 
-# Callers name their own place, so the number of keys needs a bound.
-MAX_RANKINGS = 4096
+# Callers choose the place in their query, so the number of keys needs a limit.
+MAX_CACHED_RANKINGS = 4096
 
 
-class EntryPlanner:
-    """Owns the rankings for the newest member view."""
+class EntryRankingCache:
+    """Cache of the rankings for the latest member view, evicted oldest first.
 
-    def __init__(self, *, max_rankings=MAX_RANKINGS):
-        self._max_rankings = max_rankings
+    Args:
+      max_cached_rankings: largest number of rankings.
+    """
+
+    def __init__(self, *, max_cached_rankings=MAX_CACHED_RANKINGS):
+        self._max_cached_rankings = max_cached_rankings
         self._members = ()
         self._rankings = collections.OrderedDict()
 
@@ -25,12 +29,12 @@
         return len(self._rankings)
 
     def choose(self, *, service, place, members, rng):
-        """Order the entries for a caller; see choose_entries().
+        """Return the entries for a caller; see choose_entries().
 
         Args:
-          service: a core.EffectiveService, or None where none was named.
+          service: core.EffectiveService, or None if the caller named none.
           place: core.Place of the caller.
-          members: tuple of the members that are alive.
+          members: tuple of the alive members.
           rng: random.Random.
         Returns:
           A tuple of Entry.
@@ -50,6 +54,6 @@
                 service=service, place=place, members=members
             )
             self._rankings[key] = ranking
-            if len(self._rankings) > self._max_rankings:
+            if len(self._rankings) > self._max_cached_rankings:
                 self._rankings.popitem(last=False)
-        return _homes.entries_of(ranking=ranking, place=place, rng=rng)
+        return _homes.build_entries(ranking=ranking, place=place, rng=rng)
--- a/wigeonrouter/entries/_planner_test.py
+++ b/wigeonrouter/entries/_ranking_cache_test.py
@@ -1,4 +1,4 @@
-"""Guards against kept rankings that name daemons which are gone."""
+"""Guards against cached rankings with daemons that are no longer alive."""
 
 import dataclasses
 import random
@@ -8,9 +8,9 @@
 
 from wigeonrouter import core
 from wigeonrouter import entries
-from wigeonrouter.entries import _planner
+from wigeonrouter.entries import _ranking_cache
 
-_MAX_RANKINGS = 3
+_MAX_CACHED_RANKINGS = 3
 
 
 def _member(number):
@@ -46,30 +46,30 @@
         max_size=30,
     )
 )
-def test_each_answer_equals_one_that_is_worked_out_anew(queries):
-    planner = entries.EntryPlanner(max_rankings=_MAX_RANKINGS)
-    for number, homes, region, present, instance in queries:
+def test_each_result_equals_an_uncached_one(queries):
+    cache = entries.EntryRankingCache(max_cached_rankings=_MAX_CACHED_RANKINGS)
+    for number, homes, region, member_numbers, instance in queries:
         query = {
             "service": _service(number, homes),
             "place": core.Place(region=f"r{region}", failure_domain="f"),
             "members": tuple(
                 dataclasses.replace(_member(n), instance=instance)
-                for n in sorted(present)
+                for n in sorted(member_numbers)
             ),
         }
-        kept = planner.choose(**query, rng=random.Random(1))
-        anew = entries.choose_entries(**query, rng=random.Random(1))
-        assert kept == anew
-        assert len(planner) <= _MAX_RANKINGS
+        cached = cache.choose(**query, rng=random.Random(1))
+        uncached = entries.choose_entries(**query, rng=random.Random(1))
+        assert cached == uncached
+        assert len(cache) <= _MAX_CACHED_RANKINGS
 
 
-def test_a_query_without_service_keeps_nothing():
-    planner = entries.EntryPlanner()
-    assert planner.choose(
+def test_a_query_without_service_caches_nothing():
+    cache = entries.EntryRankingCache()
+    assert cache.choose(
         service=None,
         place=core.Place(region="r0", failure_domain="f"),
         members=(_member(0),),
         rng=random.Random(1),
     )
-    assert len(planner) == 0
-    assert _planner.MAX_RANKINGS > 1700
+    assert len(cache) == 0
+    assert _ranking_cache.MAX_CACHED_RANKINGS > 1700
