--- a/wigeonrouter/bench/_node_parts.py
+++ b/wigeonrouter/bench/_node_parts.py
@@ -13,10 +13,10 @@
 from wigeonrouter import store
 from wigeonrouter import topology
 from wigeonrouter.bench import _measuring
+from wigeonrouter.node import _cluster_state
 from wigeonrouter.node import _hub
-from wigeonrouter.node import _mirror
-from wigeonrouter.node import _world
-from wigeonrouter.platform import stage
+from wigeonrouter.node import _store_cache
+from wigeonrouter.platform import testing
 from wigeonrouter.schema import node_pb2
 
 _ROUTES_PER_SERVICE = 2
@@ -36,21 +36,23 @@
 def measure_configuration(services):
     """Measure one version of a configuration with a number of services."""
     value = json.dumps(
-        stage.render_configuration(_configuration(services))
+        testing.render_configuration(_configuration(services))
     ).encode()
     item = store.Item(
-        key=stage.CONFIGURATION_KEY, value=value, version=services
+        key=testing.CONFIGURATION_KEY, value=value, version=services
+    )
+    update = _store_cache.encode_update(items=[item], revision=services)
+    feed = testing.make_feed(_DOMAINS)
+    cluster_state = _cluster_state.ClusterState(
+        events=_Quiet(), on_change=lambda: None
     )
-    update = _mirror.render_update(items=[item], revision=services)
-    feed = stage.make_feed(_DOMAINS)
-    world = _world.World(events=_Quiet(), on_change=lambda: None)
 
-    def take():
-        items, _ = _mirror.parse_update(update)
-        world.apply(feed.decode(items, whole=False))
+    def apply_version():
+        items, _ = _store_cache.decode_update(update)
+        cluster_state.apply(feed.decode(items, whole=False))
 
     before = _measuring.resident_bytes()
-    first = _measuring.cpu_seconds(take)
+    first = _measuring.cpu_seconds(apply_version)
     return {
         "routes": services * _ROUTES_PER_SERVICE,
         "document_bytes": len(value),
@@ -63,17 +65,21 @@
 def measure_servers(servers):
     """Measure a node's copy of the registrations of backend servers."""
     items = [_registration_item(number) for number in range(servers)]
-    update = _mirror.render_update(items=items, revision=servers, whole=True)
-    one = _mirror.render_update(items=items[:1], revision=servers + 1)
-    feed = stage.make_feed(_DOMAINS)
-    world = _world.World(events=_Quiet(), on_change=lambda: None)
-    mirror = _mirror.Mirror(
-        apply=lambda items, revision, whole: world.apply(
+    update = _store_cache.encode_update(
+        items=items, revision=servers, whole=True
+    )
+    one = _store_cache.encode_update(items=items[:1], revision=servers + 1)
+    feed = testing.make_feed(_DOMAINS)
+    cluster_state = _cluster_state.ClusterState(
+        events=_Quiet(), on_change=lambda: None
+    )
+    cache = _store_cache.StoreCache(
+        apply=lambda items, revision, whole: cluster_state.apply(
             feed.decode(items, whole=whole)
         )
     )
     before = _measuring.resident_bytes()
-    load = _measuring.cpu_seconds(lambda: mirror.take(update))
+    load = _measuring.cpu_seconds(lambda: cache.apply_update(update))
     return {
         "update_bytes": update.ByteSize(),
         "one_change_bytes": one.ByteSize(),
@@ -102,10 +108,10 @@
     """Measure what a hub does for a number of followers."""
     states = [_state(number) for number in range(nodes)]
     hub = _hub.Hub(
-        mirror=None,
+        cache=None,
         own_state=lambda: states[0],
         on_roster=lambda roster: None,
-        before=states,
+        expected_members=states,
     )
     roster = node_pb2.PeerMessage(roster=node_pb2.Roster(nodes=states))
     gevent.sleep(0)
@@ -153,7 +159,7 @@
 
 def _registration_item(number):
     instance = f"i-{number:010x}"
-    document = stage.render_registration(
+    document = testing.render_registration(
         topology.Registration(
             instance=instance,
             service=f"service-{number // 9}",
@@ -171,7 +177,7 @@
         )
     )
     return store.Item(
-        key=stage.server_key(instance),
+        key=testing.server_key(instance),
         value=json.dumps(document).encode(),
         version=number + 1,
     )
--- a/wigeonrouter/node/_channel.py
+++ b/wigeonrouter/node/_channel.py
@@ -8,7 +8,7 @@
 
 from wigeonrouter.schema import node_pb2
 
-_LENGTH = struct.Struct("!I")
+_LENGTH_PREFIX = struct.Struct("!I")
 _MAX_MESSAGE_BYTES = 16 << 20
 
 
@@ -32,7 +32,7 @@
         data = message.SerializeToString()
         try:
             with gevent.Timeout(timeout, TimeoutError("peer takes nothing")):
-                self._sock.sendall(_LENGTH.pack(len(data)) + data)
+                self._sock.sendall(_LENGTH_PREFIX.pack(len(data)) + data)
         except OSError as error:
             raise ChannelClosed(str(error)) from error
 
@@ -44,7 +44,9 @@
         """
         try:
             with gevent.Timeout(timeout, TimeoutError("peer is silent")):
-                (length,) = _LENGTH.unpack(self._read(_LENGTH.size))
+                (length,) = _LENGTH_PREFIX.unpack(
+                    self._read(_LENGTH_PREFIX.size)
+                )
                 if length > _MAX_MESSAGE_BYTES:
                     raise ChannelClosed(f"message of {length} bytes")
                 return node_pb2.PeerMessage.FromString(self._read(length))
@@ -58,10 +60,10 @@
     def _read(self, length):
         data = b""
         while len(data) < length:
-            more = self._sock.recv(length - len(data))
-            if not more:
+            chunk = self._sock.recv(length - len(data))
+            if not chunk:
                 raise ChannelClosed("closed by the peer")
-            data += more
+            data += chunk
         return data
 
 
--- a/wigeonrouter/node/_world.py
+++ b/wigeonrouter/node/_cluster_state.py
@@ -11,7 +11,7 @@
 from wigeonrouter import topology
 
 
-class World:
+class ClusterState:
     """Owns the configuration in force and the server directory."""
 
     def __init__(self, *, events, on_change, clock=time.monotonic):
@@ -24,7 +24,7 @@
         self._routes = topology.RouteTable(())
         self._directory = topology.ServerDirectory()
         self._hosts = {}
-        self._waits = {}
+        self._usual_waits = {}
 
     @property
     def configuration(self):
@@ -37,9 +37,9 @@
         return self._routes
 
     @property
-    def waits(self):
+    def usual_waits(self):
         """Dict from route to how long its callers usually wait, seconds."""
-        return self._waits
+        return self._usual_waits
 
     @property
     def directory(self):
@@ -67,20 +67,22 @@
         now = self._clock()
         if content.whole:
             self._hosts = {}
-            self._directory.keep_only(_written(content.records), now)
+            self._directory.keep_only(
+                _registered_instances(content.records), now
+            )
         else:
-            self._directory.remove(_removed(content.records), now)
+            self._directory.remove(_removed_instances(content.records), now)
         for record in content.records:
-            self._apply(record, now)
+            self._apply_record(record, now)
         self._on_change()
 
-    def advance(self):
+    def expire_servers(self):
         """Forget what has lapsed for good."""
         if self._directory.expire(self._clock()):
             self._events.notice("lapsed-servers-forgotten")
             self._on_change()
 
-    def _apply(self, record, now):
+    def _apply_record(self, record, now):
         if isinstance(record, topology.ConfigurationWritten):
             self._apply_configuration(record)
         elif isinstance(record, topology.RegistrationWritten):
@@ -95,7 +97,7 @@
         elif isinstance(record, topology.NodeWritten):
             self._hosts.setdefault(record.region, set()).add(record.host)
         elif isinstance(record, topology.WaitLearned):
-            self._waits[record.route] = record.seconds
+            self._usual_waits[record.route] = record.seconds
         elif isinstance(record, topology.NodeRemoved):
             self._hosts.get(record.region, set()).discard(record.host)
         elif isinstance(record, topology.ConfigurationRejected):
@@ -129,11 +131,11 @@
     def _apply_registration(self, record, now):
         registration = record.registration
         before = self._directory.known.get(registration.instance)
-        taken = self._directory.put(registration, now)
+        accepted = self._directory.put(registration, now)
         if before is not None and before.registration == registration:
             return
         self._events.notice(
-            "server-registered" if taken else "registration-outdated",
+            "server-registered" if accepted else "registration-outdated",
             instance=registration.instance,
             service=registration.service,
             state=registration.state.value,
@@ -142,7 +144,7 @@
         )
 
 
-def _written(records):
+def _registered_instances(records):
     return {
         record.registration.instance
         for record in records
@@ -150,7 +152,7 @@
     }
 
 
-def _removed(records):
+def _removed_instances(records):
     """Return the instances whose last record is their removal."""
     last = {}
     for record in records:
--- a/wigeonrouter/node/_entrance.py
+++ b/wigeonrouter/node/_directory_handler.py
@@ -3,12 +3,12 @@
 from urllib import parse
 
 from wigeonrouter import core
-from wigeonrouter.node import dialect
+from wigeonrouter.node import messages
 
 _MAX_BODY_BYTES = 64 << 10
 
 
-class Entrance:
+class DirectoryHandler:
     """Handles requests on the directory and readiness addresses.
 
     Args:
@@ -18,11 +18,11 @@
         seconds.
     """
 
-    def __init__(self, *, wire, choose, is_ready, lifetime):
-        self._wire = wire
-        self._choose = choose
+    def __init__(self, *, codec, choose_entries, is_ready, ttl):
+        self._codec = codec
+        self._choose_entries = choose_entries
         self._is_ready = is_ready
-        self._lifetime = lifetime
+        self._ttl = ttl
 
     def body_limit(self, request):
         """Return the largest accepted body in bytes."""
@@ -31,19 +31,17 @@
     def handle(self, request, arrived):
         """Answer one request with an HttpResponse."""
         path, _, text = request.target.decode("latin-1").partition("?")
-        if self._wire.is_readiness(path):
-            return self._wire.readiness_answer(ready=self._is_ready())
-        query = self._wire.read_entry_query(path, dict(parse.parse_qsl(text)))
+        if self._codec.is_readiness_path(path):
+            return self._codec.render_readiness(ready=self._is_ready())
+        query = self._codec.read_entry_query(path, dict(parse.parse_qsl(text)))
         if query is None:
-            return self._refuse(core.problems.NO_ROUTE)
-        addresses = self._choose(query)
+            return self._reject(core.problems.NO_ROUTE)
+        addresses = self._choose_entries(query)
         if not addresses:
-            return self._refuse(core.problems.NOT_READY)
-        return self._wire.entry_answer(
-            addresses=addresses, lifetime=self._lifetime()
-        )
+            return self._reject(core.problems.NOT_READY)
+        return self._codec.render_entries(addresses=addresses, ttl=self._ttl())
 
-    def _refuse(self, problem):
-        return self._wire.refusal(
-            refusal=dialect.Refused(problem=problem), request_id=""
+    def _reject(self, problem):
+        return self._codec.render_rejection(
+            rejection=messages.Rejection(problem=problem), request_id=""
         )
--- a/wigeonrouter/node/_hub.py
+++ b/wigeonrouter/node/_hub.py
@@ -8,27 +8,27 @@
 from wigeonrouter.node import _channel
 from wigeonrouter.schema import node_pb2
 
-PULSE_INTERVAL_S = 0.4
+HEARTBEAT_INTERVAL_S = 0.4
 # Many nodes join at the same time; each roster names all of them.
-_ROSTER_INTERVAL_S = 0.05
+_ROSTER_BATCH_DELAY_S = 0.05
 # A peer that sends nothing for this time is taken to be dead.
-SILENCE_S = 1.2
+PEER_TIMEOUT_S = 1.2
 _SEND_TIMEOUT_S = 1.0
 # A follower that lags by more messages is dropped, and joins again.
-_MAX_QUEUED = 500
+_MAX_QUEUED_MESSAGES = 500
 
 
 class _Follower:
     def __init__(self, *, state):
         self.state = state
-        self.outbox = gevent_queue.Queue(maxsize=_MAX_QUEUED)
-        self.overrun = False
+        self.send_queue = gevent_queue.Queue(maxsize=_MAX_QUEUED_MESSAGES)
+        self.overflowed = False
 
-    def put(self, message):
+    def enqueue(self, message):
         try:
-            self.outbox.put_nowait(message)
+            self.send_queue.put_nowait(message)
         except gevent_queue.Full:
-            self.overrun = True
+            self.overflowed = True
 
 
 class Hub:
@@ -43,15 +43,23 @@
     """
 
     def __init__(
-        self, *, mirror, own_state, on_roster, before=(), clock=time.monotonic
+        self,
+        *,
+        store_cache,
+        own_state,
+        on_roster,
+        expected_members=(),
+        clock=time.monotonic,
     ):
-        self._mirror = mirror
+        self._store_cache = store_cache
         self._own_state = own_state
         self._on_roster = on_roster
         self._clock = clock
         self._followers = {}
-        self._expected = {state.host: state for state in before}
-        self._expected_until = clock() + SILENCE_S
+        self._expected_members = {
+            state.host: state for state in expected_members
+        }
+        self._expected_until = clock() + PEER_TIMEOUT_S
         self._store_answers = True
         self._roster_task = None
 
@@ -59,13 +67,13 @@
         """Take over whether the store answers, and tell the followers."""
         if answers != self._store_answers:
             self._store_answers = answers
-            self.pulse()
+            self.send_heartbeat()
 
     def roster(self):
         """Return the NodeStates of all members of the region."""
         members = {}
         if self._clock() < self._expected_until:
-            members.update(self._expected)
+            members.update(self._expected_members)
         for host, follower in self._followers.items():
             members[host] = follower.state
         own = self._own_state()
@@ -77,18 +85,18 @@
         follower = _Follower(state=join.state)
         host = join.state.host
         self._followers[host] = follower
-        follower.put(
+        follower.enqueue(
             node_pb2.PeerMessage(
-                update=self._mirror.message_since(join.revision)
+                update=self._store_cache.update_since(join.revision)
             )
         )
-        follower.put(self._pulse_message())
-        follower.put(_roster_message(self.roster()))
+        follower.enqueue(self._heartbeat_message())
+        follower.enqueue(_roster_message(self.roster()))
         self.broadcast_roster()
         writer = gevent.spawn(self._write, channel, follower)
         try:
-            while not follower.overrun:
-                message = channel.receive(timeout=SILENCE_S)
+            while not follower.overflowed:
+                message = channel.receive(timeout=PEER_TIMEOUT_S)
                 if not message.HasField("state"):
                     continue
                 if message.state != follower.state:
@@ -100,7 +108,7 @@
             writer.kill()
             if self._followers.get(host) is follower:
                 del self._followers[host]
-                self._expected.pop(host, None)
+                self._expected_members.pop(host, None)
                 self.broadcast_roster()
 
     def broadcast_update(self, update):
@@ -112,19 +120,19 @@
         self._on_roster(self.roster())
         if self._roster_task is None or self._roster_task.ready():
             self._roster_task = gevent.spawn_later(
-                _ROSTER_INTERVAL_S, self._send_roster
+                _ROSTER_BATCH_DELAY_S, self._send_roster
             )
 
-    def pulse(self, *, leaving=False):
+    def send_heartbeat(self, *, leaving=False):
         """Show all followers that this hub lives."""
-        self._broadcast(self._pulse_message(leaving=leaving))
+        self._broadcast(self._heartbeat_message(leaving=leaving))
 
-    def run_pulse(self):
+    def run_heartbeats(self):
         """Send a pulse at intervals until the task is killed."""
-        expecting = bool(self._expected)
+        expecting = bool(self._expected_members)
         while True:
-            gevent.sleep(PULSE_INTERVAL_S)
-            self.pulse()
+            gevent.sleep(HEARTBEAT_INTERVAL_S)
+            self.send_heartbeat()
             if expecting and self._clock() >= self._expected_until:
                 expecting = False
                 self.broadcast_roster()
@@ -132,7 +140,7 @@
     def _send_roster(self):
         self._broadcast(_roster_message(self.roster()))
 
-    def _pulse_message(self, *, leaving=False):
+    def _heartbeat_message(self, *, leaving=False):
         return node_pb2.PeerMessage(
             pulse=node_pb2.Pulse(
                 store_answers=self._store_answers, leaving=leaving
@@ -141,12 +149,12 @@
 
     def _broadcast(self, message):
         for follower in self._followers.values():
-            follower.put(message)
+            follower.enqueue(message)
 
     def _write(self, channel, follower):
         try:
             while True:
-                message = follower.outbox.get()
+                message = follower.send_queue.get()
                 channel.send(message, timeout=_SEND_TIMEOUT_S)
         except _channel.ChannelClosed:
             channel.close()
--- a/wigeonrouter/node/_metrics.py
+++ b/wigeonrouter/node/_metrics.py
@@ -10,7 +10,7 @@
 _MAX_BODY_BYTES = 4 << 10
 
 
-class MetricsPage:
+class MetricsHandler:
     """Handles requests on the control address.
 
     Args:
@@ -49,12 +49,12 @@
 
     metrics: observability.Metrics
 
-    def answered(self, *, service, route, status, latency):
+    def record_response(self, *, service, route, status, latency):
         """Count a request that got a backend server's answer."""
         outcome = core.Outcome.OK if status < 500 else core.Outcome.FAILED
         self._observe(service, route, outcome, "", latency)
 
-    def refused(self, *, service, route, problem, latency):
+    def record_rejection(self, *, service, route, problem, latency):
         """Count a request that ended with a core.ProblemType.
 
         Args:
@@ -62,7 +62,7 @@
         """
         self._observe(service, route, problem.outcome, problem.name, latency)
 
-    def left(self, *, service, route, latency):
+    def record_caller_gone(self, *, service, route, latency):
         """Count a request whose caller has gone."""
         self._observe(
             service, route, core.Outcome.UNKNOWN, "caller-gone", latency
--- a/wigeonrouter/node/_node.py
+++ b/wigeonrouter/node/_node.py
@@ -14,39 +14,39 @@
 from wigeonrouter import store
 from wigeonrouter import topology
 from wigeonrouter.node import _balancer
-from wigeonrouter.node import _entrance
+from wigeonrouter.node import _cluster_state
+from wigeonrouter.node import _directory_handler
 from wigeonrouter.node import _metrics
 from wigeonrouter.node import _prober
 from wigeonrouter.node import _proxy
-from wigeonrouter.node import _region
+from wigeonrouter.node import _region_member
 from wigeonrouter.node import _sender
-from wigeonrouter.node import _servers
-from wigeonrouter.node import _world
+from wigeonrouter.node import _server_pool
 
 _HOUSEKEEPING_INTERVAL_S = 0.25
 # Connections to backend servers are kept for this time without use.
-_MAX_IDLE_S = 8.0
+_MAX_BACKEND_IDLE_S = 8.0
 # What was learned of callers is written about this often, if it changed.
-_KEEP_INTERVAL_S = 5.0
+_WAITS_WRITE_INTERVAL_S = 5.0
 _MAX_CALLER_CONNECTIONS = 3_000
 # Callers ask again after this time. Some keep an answer three times as long,
 # and a stopping node has to be out of all answers in time.
-_ANSWER_LIFETIME_S = 1.0
+_ENTRIES_TTL_S = 1.0
 # Callers that asked before the stop still come for this part of the grace.
-_SERVE_SHARE = 0.7
-_FINISH_SHARE = 0.95
-_STOP_POLL_S = 0.02
+_ACCEPT_GRACE_SHARE = 0.7
+_DRAIN_GRACE_SHARE = 0.95
+_STOP_POLL_INTERVAL_S = 0.02
 # Callers that ask a node which has just started wait for its configuration.
-_START_S = 0.4
+_STARTUP_WAIT_S = 0.4
 # Settings that a running node takes over.
-_CHANGEABLE = frozenset(
+_RELOADABLE_SETTINGS = frozenset(
     {"bounds", "capacity", "heartbeat", "regions", "seeds"}
 )
 # Nodes of a region that serve the callers of one service.
-_HOMES = 1
+_HOMES_PER_SERVICE = 1
 # Share of the retry budget that is used, for requests whose counting
 # differs at the edges of a window.
-_BUDGET_SHARE = 0.9
+_RETRY_BUDGET_SHARE = 0.9
 
 
 class Node:
@@ -59,33 +59,35 @@
       events: events.EventLog.
     """
 
-    def __init__(self, *, settings, feed, wire, events, rng=None):
+    def __init__(self, *, settings, feed, codec, events, rng=None):
         self._settings = settings
         self._events = events
-        self._wire = wire
+        self._codec = codec
         self._feed = feed
         self._rng = rng or random.Random()
         self._stopping = False
         self._was_ready = False
-        self._pool = http1.ConnectionPool(max_idle=_MAX_IDLE_S)
-        self._prober = _prober.Prober(pool=self._pool, wire=wire)
+        self._pool = http1.ConnectionPool(max_idle=_MAX_BACKEND_IDLE_S)
+        self._prober = _prober.Prober(pool=self._pool, codec=codec)
         self._balancers = {}
         self._addresses = {}
         self._metrics = observability.Metrics()
-        self._world = _world.World(events=events, on_change=self._reconfigure)
-        self._region = _region.Region(
+        self._cluster_state = _cluster_state.ClusterState(
+            events=events, on_change=self._reconfigure
+        )
+        self._region_member = _region_member.RegionMember(
             settings=settings,
             feed=feed,
-            world=self._world,
+            cluster_state=self._cluster_state,
             is_ready=lambda: self.ready,
             events=events,
             rng=self._rng,
         )
         self._proxy = _proxy.Proxy(
-            world=self._world,
-            balancers=self._balancer,
-            sender=_sender.Sender(pool=self._pool, wire=wire),
-            wire=wire,
+            cluster_state=self._cluster_state,
+            balancer_for=self._balancer_for,
+            sender=_sender.Sender(pool=self._pool, codec=codec),
+            codec=codec,
             splitter=topology.Splitter(rng=self._rng),
             events=events,
             metrics=_metrics.RequestMetrics(metrics=self._metrics),
@@ -95,16 +97,16 @@
             handler=self._proxy,
             max_connections=_MAX_CALLER_CONNECTIONS,
         )
-        entrance = _entrance.Entrance(
-            wire=wire,
-            choose=self._choose_entries,
+        entrance = _directory_handler.DirectoryHandler(
+            codec=codec,
+            choose_entries=self._choose_entries,
             is_ready=lambda: self.ready,
-            lifetime=self._answer_lifetime,
+            ttl=self._entries_ttl,
         )
-        page = _metrics.MetricsPage(
+        page = _metrics.MetricsHandler(
             metrics=self._metrics, read_gauges=self._read_gauges
         )
-        self._entrances = [
+        self._auxiliary_servers = [
             http1.CallerServer(address=address, handler=handler)
             for address, handler in (
                 (settings.directory_address, entrance),
@@ -123,7 +125,7 @@
     @property
     def servers(self):
         """Frozenset of the instances that are registered."""
-        return frozenset(self._world.directory.known)
+        return frozenset(self._cluster_state.directory.known)
 
     @property
     def counts(self):
@@ -131,31 +133,34 @@
         return self._events.counts
 
     @property
-    def kept_waits(self):
+    def stored_usual_waits(self):
         """Dict from route to the usual wait that the store keeps."""
-        return dict(self._world.waits)
+        return dict(self._cluster_state.usual_waits)
 
     @property
-    def region(self):
+    def region_member(self):
         """Region, this node's part in its region."""
-        return self._region
+        return self._region_member
 
     @property
     def ready(self):
         """Whether callers may be sent here."""
-        return self._world.configuration is not None and not self._stopping
+        return (
+            self._cluster_state.configuration is not None
+            and not self._stopping
+        )
 
     def start(self):
         """Listen and follow the store."""
         self._callers.start()
-        for entrance in self._entrances:
+        for entrance in self._auxiliary_servers:
             entrance.start()
-        self._region.start()
+        self._region_member.start()
         self._tasks = [
-            gevent.spawn(self._keep_running, "region", self._region.run),
+            gevent.spawn(self._supervise, "region", self._region_member.run),
             gevent.spawn(self._register),
-            gevent.spawn(self._keep_running, "waits", self._keep_waits),
-            gevent.spawn(self._keep_running, "housekeeping", self._housekeep),
+            gevent.spawn(self._supervise, "waits", self._store_usual_waits),
+            gevent.spawn(self._supervise, "housekeeping", self._housekeep),
         ]
         self._events.notice(
             "started",
@@ -175,10 +180,10 @@
             "stopping", requests=self._callers.requests_in_progress
         )
         self._callers.drain()
-        self._region.leave()
-        while time.monotonic() - began < grace * _SERVE_SHARE:
-            gevent.sleep(_STOP_POLL_S)
-        latest = began + grace * _FINISH_SHARE
+        self._region_member.leave()
+        while time.monotonic() - began < grace * _ACCEPT_GRACE_SHARE:
+            gevent.sleep(_STOP_POLL_INTERVAL_S)
+        latest = began + grace * _DRAIN_GRACE_SHARE
         stopping = gevent.spawn(self._callers.stop)
         stopping.join(timeout=max(0.0, latest - time.monotonic()))
         self._events.notice(
@@ -189,8 +194,8 @@
     def kill(self):
         """Stop at once, as a process that is killed does."""
         gevent.killall(self._tasks)
-        self._region.kill()
-        for server in (self._callers, *self._entrances):
+        self._region_member.kill()
+        for server in (self._callers, *self._auxiliary_servers):
             server.kill()
 
     def reload(self, settings):
@@ -200,10 +205,12 @@
           settings: topology.NodeSettings of the changed file.
         """
         plan = core.plan_reload(
-            current=self._settings, wanted=settings, changeable=_CHANGEABLE
+            current=self._settings,
+            wanted=settings,
+            changeable=_RELOADABLE_SETTINGS,
         )
         self._settings = plan.settings
-        self._region.reload(plan.settings)
+        self._region_member.reload(plan.settings)
         self._feed.reload(plan.settings.regions)
         for balancer in self._balancers.values():
             balancer.budget.configure(
@@ -214,7 +221,7 @@
             "settings-reloaded", changed=plan.changed, kept=plan.kept
         )
 
-    def _keep_running(self, name, function):
+    def _supervise(self, name, function):
         """Run a task for ever; one that fails is logged and run again."""
         while True:
             try:
@@ -228,19 +235,19 @@
             gevent.sleep(_HOUSEKEEPING_INTERVAL_S)
 
     def _budget_ratio(self):
-        return self._settings.bounds.retry_ratio * _BUDGET_SHARE
+        return self._settings.bounds.retry_ratio * _RETRY_BUDGET_SHARE
 
     def _read_gauges(self):
-        ready = sum(peer.ready for peer in self._region.peers)
+        ready = sum(peer.ready for peer in self._region_member.peers)
         return observability.Gauges(
-            revision=self._region.revision,
+            revision=self._region_member.revision,
             ready=self.ready,
             members={
                 "ready": ready,
-                "not ready": len(self._region.peers) - ready,
+                "not ready": len(self._region_member.peers) - ready,
             },
             services=tuple(
-                (name, balancer.waiting, balancer.in_flight)
+                (name, balancer.queue_length, balancer.in_flight)
                 for name, balancer in sorted(self._balancers.items())
             ),
             arriving=self._callers.requests_in_progress,
@@ -251,15 +258,15 @@
     def _housekeep(self):
         while True:
             gevent.sleep(_HOUSEKEEPING_INTERVAL_S)
-            self._world.advance()
+            self._cluster_state.expire_servers()
             self._pool.close_idle()
             self._metrics.rotate()
 
-    def _keep_waits(self):
+    def _store_usual_waits(self):
         """Keep in the store what the node learned of its callers."""
         while True:
-            gevent.sleep(_KEEP_INTERVAL_S * self._rng.uniform(0.5, 1.5))
-            for route, seconds in self._proxy.new_waits().items():
+            gevent.sleep(_WAITS_WRITE_INTERVAL_S * self._rng.uniform(0.5, 1.5))
+            for route, seconds in self._proxy.changed_usual_waits().items():
                 try:
                     self._feed.remember_wait(route=route, seconds=seconds)
                 except store.StoreError as error:
@@ -267,18 +274,18 @@
                         "wait-not-kept", route=route, error=str(error)
                     )
 
-    def _answer_lifetime(self):
-        return min(_ANSWER_LIFETIME_S, self._settings.bounds.answer_lifetime)
+    def _entries_ttl(self):
+        return min(_ENTRIES_TTL_S, self._settings.bounds.answer_lifetime)
 
     def _choose_entries(self, query):
-        self._world.wait_configured(_START_S)
-        if self._world.configuration is None:
+        self._cluster_state.wait_configured(_STARTUP_WAIT_S)
+        if self._cluster_state.configuration is None:
             return ()
-        services = self._world.routes.services_of(query.host)
+        services = self._cluster_state.routes.services_of(query.host)
         homes = topology.homes(
             service=services[0] if services else "",
-            peers=self._region.peers,
-            count=_HOMES,
+            peers=self._region_member.peers,
+            count=_HOMES_PER_SERVICE,
         )
         if homes:
             return tuple(home.caller_address for home in homes)
@@ -286,15 +293,15 @@
 
     def _register(self):
         try:
-            self._region.register()
+            self._region_member.register()
         except Exception as error:
             self._events.notice("task-failed", task="register", error=error)
 
-    def _balancer(self, service):
+    def _balancer_for(self, service):
         balancer = self._balancers.get(service)
         if balancer is None:
             balancer = _balancer.Balancer(
-                servers=_servers.Servers(
+                servers=_server_pool.ServerPool(
                     place=self._settings.place,
                     prober=self._prober,
                     events=self._events,
@@ -311,13 +318,13 @@
         return balancer
 
     def _reconfigure(self):
-        configuration = self._world.configuration
+        configuration = self._cluster_state.configuration
         if configuration is None:
             return
         if not self._was_ready:
             self._was_ready = True
-            self._region.announce()
-        known = self._world.directory.known
+            self._region_member.broadcast_state()
+        known = self._cluster_state.directory.known
         by_service = collections.defaultdict(list)
         for entry in known.values():
             by_service[entry.registration.service].append(entry)
--- a/wigeonrouter/node/_role_call.py
+++ b/wigeonrouter/node/_peer_requests.py
@@ -7,18 +7,18 @@
 from wigeonrouter.schema import node_pb2
 
 CONNECT_TIMEOUT_S = 0.3
-ASK_TIMEOUT_S = 0.3
+REQUEST_TIMEOUT_S = 0.3
 # Nodes that are asked for the hub; any of them knows it.
-_ASKED = 6
-_ROLES = {
+_MAX_QUERIED_HOSTS = 6
+_ROLE_NUMBERS = {
     topology.RoleKind.UNDECIDED: node_pb2.Role.UNDECIDED,
     topology.RoleKind.HUB: node_pb2.Role.HUB,
     topology.RoleKind.FOLLOWER: node_pb2.Role.FOLLOWER,
 }
-_KINDS = {number: kind for kind, number in _ROLES.items()}
+_ROLE_KINDS = {number: kind for kind, number in _ROLE_NUMBERS.items()}
 
 
-def ask_roles(hosts, *, port):
+def query_roles(hosts, *, port):
     """Ask some hosts for their roles; return a dict by host.
 
     Args:
@@ -26,9 +26,10 @@
       port: port that nodes listen on for each other.
     """
     tasks = {
-        host: gevent.spawn(_ask_one, host, port) for host in hosts[:_ASKED]
+        host: gevent.spawn(_query_role, host, port)
+        for host in hosts[:_MAX_QUERIED_HOSTS]
     }
-    gevent.joinall(list(tasks.values()), timeout=2 * ASK_TIMEOUT_S)
+    gevent.joinall(list(tasks.values()), timeout=2 * REQUEST_TIMEOUT_S)
     return {
         host: task.value
         for host, task in tasks.items()
@@ -39,31 +40,31 @@
 def fetch_update(host, *, port, revision):
     """Return a node's Update since a revision, None without an answer."""
     fetch = node_pb2.Fetch(revision=revision)
-    answer = _exchange(host, port, node_pb2.PeerMessage(fetch=fetch))
-    if answer is None or not answer.HasField("update"):
+    reply = _exchange(host, port, node_pb2.PeerMessage(fetch=fetch))
+    if reply is None or not reply.HasField("update"):
         return None
-    return answer.update
+    return reply.update
 
 
-def render_role(role):
+def encode_role(role):
     """Return the PeerMessage of a topology.Role."""
     return node_pb2.PeerMessage(
         role=node_pb2.Role(
-            kind=_ROLES[role.kind],
+            kind=_ROLE_NUMBERS[role.kind],
             hub=role.hub,
             store_answers=role.store_answers,
         )
     )
 
 
-def _ask_one(host, port):
-    answer = _exchange(host, port, node_pb2.PeerMessage(ask=node_pb2.Ask()))
-    if answer is None or not answer.HasField("role"):
+def _query_role(host, port):
+    reply = _exchange(host, port, node_pb2.PeerMessage(ask=node_pb2.Ask()))
+    if reply is None or not reply.HasField("role"):
         return None
     return topology.Role(
-        kind=_KINDS.get(answer.role.kind, topology.RoleKind.UNDECIDED),
-        hub=answer.role.hub,
-        store_answers=answer.role.store_answers,
+        kind=_ROLE_KINDS.get(reply.role.kind, topology.RoleKind.UNDECIDED),
+        hub=reply.role.hub,
+        store_answers=reply.role.store_answers,
     )
 
 
@@ -75,8 +76,8 @@
     except _channel.ChannelClosed:
         return None
     try:
-        channel.send(message, timeout=ASK_TIMEOUT_S)
-        return channel.receive(timeout=ASK_TIMEOUT_S)
+        channel.send(message, timeout=REQUEST_TIMEOUT_S)
+        return channel.receive(timeout=REQUEST_TIMEOUT_S)
     except _channel.ChannelClosed:
         return None
     finally:
--- a/wigeonrouter/node/_prober.py
+++ b/wigeonrouter/node/_prober.py
@@ -6,7 +6,7 @@
 import gevent
 
 from wigeonrouter import http1
-from wigeonrouter.node import dialect
+from wigeonrouter.node import messages
 
 # Answers to health checks are short.
 _MAX_BYTES = 16 << 10
@@ -14,7 +14,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class ProbeAnswer:
+class ProbeResult:
     """What a server answered to a health check.
 
     Attributes:
@@ -23,21 +23,21 @@
     """
 
     healthy: bool
-    mine: bool
-    load: dialect.Load | None
+    instance_matches: bool
+    load: messages.ServerLoad | None
     round_trip: float
 
 
 class Prober:
     """Sends health checks over the pooled connections of requests."""
 
-    def __init__(self, *, pool, wire, clock=time.monotonic):
+    def __init__(self, *, pool, codec, clock=time.monotonic):
         self._pool = pool
-        self._wire = wire
+        self._codec = codec
         self._clock = clock
         self._running = {}
 
-    def ask(self, targets, *, timeout, deliver):
+    def probe(self, targets, *, timeout, deliver):
         """Ask servers at the same time and wait for their answers.
 
         Args:
@@ -60,10 +60,10 @@
 
     def _run(self, registration, path, timeout, deliver):
         try:
-            answer = self._exchange(registration, path, timeout)
+            result = self._exchange(registration, path, timeout)
         finally:
             self._running.pop(registration.instance, None)
-        deliver(registration.instance, answer)
+        deliver(registration.instance, result)
 
     def _exchange(self, registration, path, timeout):
         address = registration.address
@@ -81,7 +81,7 @@
         try:
             with gevent.Timeout(max(0.0, deadline - started), TimeoutError):
                 connection.send(
-                    self._wire.render_probe(path=path, address=address)
+                    self._codec.render_probe(path=path, address=address)
                 )
                 reader = http1.ResponseReader(
                     receive=connection.receive, max_bytes=_MAX_BYTES
@@ -102,10 +102,10 @@
         return self._read(registration, response, started)
 
     def _read(self, registration, response, started):
-        answer = self._wire.read_answer(response)
-        return ProbeAnswer(
+        metadata = self._codec.read_response(response)
+        return ProbeResult(
             healthy=response.status == 200,
-            mine=answer.instance in ("", registration.instance),
-            load=answer.load,
+            instance_matches=metadata.instance in ("", registration.instance),
+            load=metadata.load,
             round_trip=self._clock() - started,
         )
--- a/wigeonrouter/node/_proxy.py
+++ b/wigeonrouter/node/_proxy.py
@@ -8,24 +8,24 @@
 from wigeonrouter import http1
 from wigeonrouter import placement
 from wigeonrouter import topology
-from wigeonrouter.node import dialect
+from wigeonrouter.node import messages
 
 # Servers that were never reached by a request do not use up its attempts.
-_MAX_UNREACHED = 3
+_MAX_CONNECT_FAILURES = 3
 # Callers return to a node without a configuration after this time.
 _NOT_READY_RETRY_S = 0.3
 # A node that has just started knows its configuration within this time; until
 # then requests are held instead of being refused.
-_START_S = 0.5
-_RETRY_AFTER_REFUSAL_S = 0.1
+_STARTUP_WAIT_S = 0.5
+_REJECTION_RETRY_AFTER_S = 0.1
 # Usual waits are written again when they have changed by this part.
-_WAIT_CHANGE = 0.2
+_MIN_WAIT_CHANGE_SHARE = 0.2
 # Time that an answer takes to the caller.
-_ANSWER_TRAVEL_S = 0.003
+_RESPONSE_TRANSIT_S = 0.003
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Call:
+class _RequestContext:
     """A request on its way. Times on the monotonic clock."""
 
     request: http1.HttpRequest
@@ -34,7 +34,7 @@
     service: str
     job: placement.Job
     attempts: int = 0
-    unreached: int = 0
+    connect_failures: int = 0
     may_have_run: bool = False
 
 
@@ -52,40 +52,41 @@
     def __init__(
         self,
         *,
-        world,
-        balancers,
+        cluster_state,
+        balancer_for,
         sender,
-        wire,
+        codec,
         splitter,
         events,
         metrics,
         clock=time.monotonic,
     ):
         self._metrics = metrics
-        self._world = world
-        self._balancers = balancers
+        self._cluster_state = cluster_state
+        self._balancer_for = balancer_for
         self._sender = sender
-        self._wire = wire
+        self._codec = codec
         self._splitter = splitter
         self._events = events
         self._clock = clock
         self._usual_waits = {}
 
-    def new_waits(self):
+    def changed_usual_waits(self):
         """Return usual waits that differ from those kept, by route."""
         found = {}
         for route, usual in self._usual_waits.items():
-            kept = self._world.waits.get(route)
+            stored = self._cluster_state.usual_waits.get(route)
             learned = usual.learned
             if learned is not None and (
-                kept is None or abs(learned - kept) > _WAIT_CHANGE * kept
+                stored is None
+                or abs(learned - stored) > _MIN_WAIT_CHANGE_SHARE * stored
             ):
                 found[route] = learned
         return found
 
     def body_limit(self, request):
         """Return the largest accepted body in bytes."""
-        configuration = self._world.configuration
+        configuration = self._cluster_state.configuration
         if configuration is None:
             return topology.CallerLimits().max_body_bytes
         return configuration.limits.max_body_bytes
@@ -99,40 +100,40 @@
         Returns:
           HttpResponse for the caller.
         """
-        incoming = self._wire.read_request(request)
-        call = self._route(request, incoming, arrived)
-        if isinstance(call, dialect.Refused):
-            return self._refuse(call, incoming.request_id, arrived, None)
-        balancer = self._balancers(call.service)
+        incoming = self._codec.read_request(request)
+        context = self._route(request, incoming, arrived)
+        if isinstance(context, messages.Rejection):
+            return self._reject(context, incoming.request_id, arrived, None)
+        balancer = self._balancer_for(context.service)
         try:
             balancer.budget.on_request(self._clock())
-            result = self._run(call, balancer)
+            result = self._run(context, balancer)
         except http1.CallerGone:
-            self._log(call, "caller-gone")
-            self._metrics.left(
-                service=call.service,
-                route=call.route,
+            self._log_event(context, "caller-gone")
+            self._metrics.record_caller_gone(
+                service=context.service,
+                route=context.route,
                 latency=self._clock() - arrived,
             )
             raise
         except Exception as error:
-            result = _internal_error(call, error)
-        if isinstance(result, dialect.Refused):
-            return self._refuse(result, call.request_id, arrived, call)
-        self._log(call, "answered", status=result.status)
-        self._metrics.answered(
-            service=call.service,
-            route=call.route,
+            result = _internal_error(context, error)
+        if isinstance(result, messages.Rejection):
+            return self._reject(result, context.request_id, arrived, context)
+        self._log_event(context, "answered", status=result.status)
+        self._metrics.record_response(
+            service=context.service,
+            route=context.route,
             status=result.status,
             latency=self._clock() - arrived,
         )
         return result
 
     def _route(self, request, incoming, arrived):
-        if self._world.configuration is None:
-            self._world.wait_configured(_START_S)
-        if self._world.configuration is None:
-            return dialect.Refused(
+        if self._cluster_state.configuration is None:
+            self._cluster_state.wait_configured(_STARTUP_WAIT_S)
+        if self._cluster_state.configuration is None:
+            return messages.Rejection(
                 problem=core.problems.NOT_READY,
                 retry_after=_NOT_READY_RETRY_S,
             )
@@ -140,58 +141,65 @@
         if "%" in path:
             path = parse.unquote(path, "latin-1")
         host = request.header(b"host").decode("latin-1").partition(":")[0]
-        route = self._world.routes.find(host=host.lower(), path=path)
+        route = self._cluster_state.routes.find(host=host.lower(), path=path)
         if route is None:
-            return dialect.Refused(
+            return messages.Rejection(
                 problem=core.problems.NO_ROUTE, detail=f"{host}{path}"
             )
-        return _Call(
+        return _RequestContext(
             request=request,
             request_id=incoming.request_id,
             route=route,
             service=self._splitter.choose(route),
-            job=self._job(route, incoming, arrived),
+            job=self._make_job(route, incoming, arrived),
         )
 
-    def _job(self, route, incoming, arrived):
+    def _make_job(self, route, incoming, arrived):
         remaining = incoming.remaining
         if remaining is None:
             remaining = route.timeout
         usual = self._usual_waits.get(route.name)
         if usual is None:
-            usual = placement.UsualWait(kept=self._world.waits.get(route.name))
+            usual = placement.UsualWait(
+                kept=self._cluster_state.usual_waits.get(route.name)
+            )
             self._usual_waits[route.name] = usual
-        spent = usual.spent(remaining)
+        elapsed = usual.spent(remaining)
         return placement.Job(
             priority=route.priority,
             idempotent=route.idempotent,
             arrived=arrived,
-            target=arrived + route.target_latency - spent - _ANSWER_TRAVEL_S,
+            target=arrived
+            + route.target_latency
+            - elapsed
+            - _RESPONSE_TRANSIT_S,
             give_up=arrived + min(remaining, route.timeout),
         )
 
-    def _run(self, call, balancer):
+    def _run(self, context, balancer):
         while True:
-            grant = balancer.acquire(call.job, call.route)
-            if isinstance(grant, dialect.Refused):
-                if call.may_have_run:
-                    return dialect.Refused(problem=core.problems.ANSWER_LOST)
+            grant = balancer.acquire(context.job, context.route)
+            if isinstance(grant, messages.Rejection):
+                if context.may_have_run:
+                    return messages.Rejection(
+                        problem=core.problems.ANSWER_LOST
+                    )
                 return grant
-            attempt = self._attempt(call, balancer, grant)
-            result = self._conclude(call, balancer, grant, attempt)
+            attempt = self._attempt(context, balancer, grant)
+            result = self._handle_result(context, balancer, grant, attempt)
             if result is not None:
                 return result
 
-    def _attempt(self, call, balancer, grant):
+    def _attempt(self, context, balancer, grant):
         started = self._clock()
         attempt = None
         try:
             attempt = self._sender.send(
-                request=call.request,
-                request_id=call.request_id,
+                request=context.request,
+                request_id=context.request_id,
                 registration=grant.registration,
-                idempotent=call.route.idempotent,
-                give_up=call.job.give_up,
+                idempotent=context.route.idempotent,
+                response_deadline=context.job.give_up,
             )
             return attempt
         finally:
@@ -199,97 +207,99 @@
             load = None
             if attempt is None:
                 # Stopped or failed on the way; the request may be there.
-                call.may_have_run = True
+                context.may_have_run = True
             else:
                 ended = attempt.ended
-                load = attempt.answer.load if attempt.answer else None
+                load = attempt.metadata.load if attempt.metadata else None
             latency = self._clock() - started
             balancer.release(
                 grant,
-                route=call.route,
+                route=context.route,
                 ended=ended,
                 load=load,
                 latency=latency,
-                late=attempt is not None and attempt.late,
+                late=attempt is not None and attempt.timed_out,
             )
-            self._log_attempt(call, grant, attempt, ended, latency)
+            self._log_attempt(context, grant, attempt, ended, latency)
 
-    def _conclude(self, call, balancer, grant, attempt):
+    def _handle_result(self, context, balancer, grant, attempt):
         """Return the final result after an attempt, None to try again."""
         instance = grant.registration.instance
         if attempt.ended is placement.Ended.UNREACHABLE:
-            call.unreached += 1
-            call.job = _exclude(call.job, instance)
-            if call.unreached <= _MAX_UNREACHED:
+            context.connect_failures += 1
+            context.job = _exclude(context.job, instance)
+            if context.connect_failures <= _MAX_CONNECT_FAILURES:
                 return None
-            return dialect.Refused(
+            return messages.Rejection(
                 problem=core.problems.CONNECT_FAILED,
-                retry_after=_RETRY_AFTER_REFUSAL_S,
+                retry_after=_REJECTION_RETRY_AFTER_S,
                 detail=attempt.detail,
             )
-        call.attempts += 1
+        context.attempts += 1
         if attempt.may_have_run:
-            call.may_have_run = True
-        if attempt.answer is not None and attempt.answer.misdirected:
+            context.may_have_run = True
+        if attempt.metadata is not None and attempt.metadata.misdirected:
             balancer.misdirected(instance)
         if attempt.ended is placement.Ended.ANSWERED:
             return attempt.response
-        if self._may_repeat(call, balancer, attempt):
-            call.job = _exclude(call.job, instance)
+        if self._may_retry(context, balancer, attempt):
+            context.job = _exclude(context.job, instance)
             return None
-        return _final(attempt, call)
+        return _final_result(attempt, context)
 
-    def _may_repeat(self, call, balancer, attempt):
-        if attempt.may_have_run and not call.route.idempotent:
+    def _may_retry(self, context, balancer, attempt):
+        if attempt.may_have_run and not context.route.idempotent:
             return False
-        if call.attempts >= call.route.max_attempts:
+        if context.attempts >= context.route.max_attempts:
             return False
         now = self._clock()
-        if now >= call.job.give_up:
+        if now >= context.job.give_up:
             return False
         return balancer.budget.try_spend(now)
 
-    def _refuse(self, refused, request_id, arrived, call):
+    def _reject(self, rejection, request_id, arrived, context):
         latency = self._clock() - arrived
-        self._metrics.refused(
-            service=call.service if call else "",
-            route=call.route if call else None,
-            problem=refused.problem,
+        self._metrics.record_rejection(
+            service=context.service if context else "",
+            route=context.route if context else None,
+            problem=rejection.problem,
             latency=latency,
         )
         self._events.event(
             "refused",
             id=request_id,
-            problem=refused.problem.name,
-            retry_after=refused.retry_after,
-            detail=refused.detail,
-            attempts=call.attempts if call else 0,
-            route=call.route.name if call else "",
+            problem=rejection.problem.name,
+            retry_after=rejection.retry_after,
+            detail=rejection.detail,
+            attempts=context.attempts if context else 0,
+            route=context.route.name if context else "",
             held_ms=_ms(latency),
         )
-        return self._wire.refusal(refusal=refused, request_id=request_id)
+        return self._codec.render_rejection(
+            rejection=rejection, request_id=request_id
+        )
 
-    def _log(self, call, event, **fields):
+    def _log_event(self, context, event, **fields):
         now = self._clock()
         self._events.event(
             event,
-            id=call.request_id,
-            route=call.route.name,
-            service=call.service,
-            version=self._world.configuration.version,
-            attempts=call.attempts,
-            took_ms=_ms(now - call.job.arrived),
-            left_to_target_ms=_ms(call.job.target - now),
+            id=context.request_id,
+            route=context.route.name,
+            service=context.service,
+            version=self._cluster_state.configuration.version,
+            attempts=context.attempts,
+            took_ms=_ms(now - context.job.arrived),
+            left_to_target_ms=_ms(context.job.target - now),
             **fields,
         )
 
-    def _log_attempt(self, call, grant, attempt, ended, latency):
+    def _log_attempt(self, context, grant, attempt, ended, latency):
         self._events.event(
             "attempt",
-            id=call.request_id,
+            id=context.request_id,
             instance=grant.registration.instance,
-            waited_ms=_ms(grant.at - call.job.arrived),
-            load=round(grant.load, 1),
+            waited_ms=_ms(grant.granted_at - context.job.arrived),
+            load=round(grant.expected_load, 1),
             slowness=round(grant.slowness, 2),
             report_age_ms=(
                 None if grant.report_age is None else _ms(grant.report_age)
@@ -305,25 +315,25 @@
     return dataclasses.replace(job, excluded=job.excluded | {instance})
 
 
-def _final(attempt, call):
-    if attempt.response is not None and not attempt.answer.not_run:
+def _final_result(attempt, context):
+    if attempt.response is not None and not attempt.metadata.not_executed:
         return attempt.response
-    if call.may_have_run:
-        return dialect.Refused(
+    if context.may_have_run:
+        return messages.Rejection(
             problem=core.problems.ANSWER_LOST, detail=attempt.detail
         )
-    return dialect.Refused(
+    return messages.Rejection(
         problem=core.problems.REFUSED_BY_SERVER,
-        retry_after=_RETRY_AFTER_REFUSAL_S,
+        retry_after=_REJECTION_RETRY_AFTER_S,
         detail=attempt.detail,
     )
 
 
-def _internal_error(call, error):
+def _internal_error(context, error):
     problem = core.problems.INTERNAL
-    if not call.may_have_run:
+    if not context.may_have_run:
         problem = core.problems.NO_SERVER
-    return dialect.Refused(
+    return messages.Rejection(
         problem=problem, detail=f"{type(error).__name__}: {error}"
     )
 
--- a/wigeonrouter/node/_region.py
+++ b/wigeonrouter/node/_region_member.py
@@ -10,24 +10,24 @@
 from wigeonrouter import topology
 from wigeonrouter.node import _channel
 from wigeonrouter.node import _hub
-from wigeonrouter.node import _mirror
-from wigeonrouter.node import _role_call
+from wigeonrouter.node import _peer_requests
+from wigeonrouter.node import _store_cache
 from wigeonrouter.node import _store_reader
 from wigeonrouter.schema import node_pb2
 
 _LOAD_RETRY_S = 0.1
 _FIRST_MESSAGE_TIMEOUT_S = 1.0
 # A hub that failed this node is not followed again for this time.
-_AVOID_S = 2.0
-_WAIT_FOR_HUB_S = 0.1
+_FAILED_HUB_AVOID_S = 2.0
+_HUB_WAIT_S = 0.1
 # A node that does not take the role is not waited for any longer.
-_MAX_WAITS = 4
+_MAX_HUB_WAITS = 4
 _HUB_CHECK_INTERVAL_S = 1.5
 _STORE_CHECK_INTERVAL_S = 1.0
 _REGISTER_RETRY_S = 2.0
 
 
-class Region:
+class RegionMember:
     """Owns the connections to the other nodes of the region.
 
     Args:
@@ -39,24 +39,32 @@
     """
 
     def __init__(
-        self, *, settings, feed, world, is_ready, events, rng, clock=None
+        self,
+        *,
+        settings,
+        feed,
+        cluster_state,
+        is_ready,
+        events,
+        rng,
+        clock=None,
     ):
         self._settings = settings
         self._feed = feed
-        self._world = world
+        self._cluster_state = cluster_state
         self._is_ready = is_ready
         self._events = events
         self._rng = rng
         self._clock = clock or time.monotonic
-        self._mirror = _mirror.Mirror(apply=self._apply)
+        self._store_cache = _store_cache.StoreCache(apply=self._apply)
         self._role = topology.Role(kind=topology.RoleKind.UNDECIDED)
         self._hub = None
         self._states = []
         self._peers = ()
-        self._avoided = {}
-        self._changed = event.Event()
+        self._avoided_until = {}
+        self._state_changed = event.Event()
         self._leaving = False
-        self._waited = 0
+        self._hub_waits = 0
         self._reaches_store = False
         self._server = gevent_server.StreamServer(
             (settings.host, settings.peer_ports[0]), self._serve
@@ -70,7 +78,7 @@
     @property
     def revision(self):
         """Revision of the store up to which this node knows it."""
-        return self._mirror.revision
+        return self._store_cache.revision
 
     @property
     def role(self):
@@ -82,9 +90,9 @@
         self._server.start()
         self._on_roster([self._own_state()])
 
-    def announce(self):
+    def broadcast_state(self):
         """Tell the region that this node's state has changed."""
-        self._changed.set()
+        self._state_changed.set()
         if self._hub is not None:
             self._hub.broadcast_roster()
         elif self._role.kind is topology.RoleKind.UNDECIDED:
@@ -93,14 +101,14 @@
     def reload(self, settings):
         """Take over changed topology.NodeSettings."""
         self._settings = settings
-        self.announce()
+        self.broadcast_state()
 
     def leave(self):
         """Give the role of the hub away before this node stops."""
         self._leaving = True
-        self.announce()
+        self.broadcast_state()
         if self._hub is not None:
-            self._hub.pulse(leaving=True)
+            self._hub.send_heartbeat(leaving=True)
 
     def kill(self):
         """Stop accepting other nodes, and close the store."""
@@ -110,27 +118,29 @@
     def register(self):
         """Make this node known in the store; returns once it is."""
         region, host = self._settings.place.region, self._settings.host
-        while host not in self._world.hosts(region):
-            if self._mirror.revision:
+        while host not in self._cluster_state.hosts(region):
+            if self._store_cache.revision:
                 try:
                     self._feed.register(region=region, host=host)
                     return
                 except store.StoreError as error:
                     self._events.notice("not-registered", error=str(error))
-            gevent.sleep(_REGISTER_RETRY_S if self._mirror.revision else 0.05)
+            gevent.sleep(
+                _REGISTER_RETRY_S if self._store_cache.revision else 0.05
+            )
 
     def run(self):
         """Follow the store, directly or through a hub, until killed."""
-        while not self._mirror.revision:
-            self._load()
+        while not self._store_cache.revision:
+            self._load_snapshot()
         while True:
-            self._step()
+            self._run_one_role()
 
     @property
     def _port(self):
         return self._settings.peer_ports[0]
 
-    def _load(self):
+    def _load_snapshot(self):
         """Read everything once, from the store or else from a seed.
 
         What is read may be seconds old, which is cheaper: the hub's update
@@ -139,83 +149,85 @@
         try:
             listing = self._feed.list(stale=True)
             self._reaches_store = True
-            self._world.on_contact()
-            self._mirror.replace(listing.items, listing.revision)
+            self._cluster_state.on_contact()
+            self._store_cache.replace_all(listing.items, listing.revision)
             return
         except store.StoreError as error:
             self._events.notice("store-lost", error=str(error))
         for host in self._settings.seeds:
-            if host != self._settings.host and self._fetch(host):
+            if host != self._settings.host and self._fetch_from_peer(host):
                 return
         gevent.sleep(_LOAD_RETRY_S * self._rng.uniform(0.7, 1.3))
 
-    def _fetch(self, host):
-        update = _role_call.fetch_update(
-            host, port=self._port, revision=self._mirror.revision
+    def _fetch_from_peer(self, host):
+        update = _peer_requests.fetch_update(
+            host, port=self._port, revision=self._store_cache.revision
         )
         if update is None:
             return False
-        self._mirror.take(update)
+        self._store_cache.apply_update(update)
         self._events.notice(
-            "content-from-peer", host=host, revision=self._mirror.revision
+            "content-from-peer", host=host, revision=self._store_cache.revision
         )
-        return self._mirror.revision > 0
+        return self._store_cache.revision > 0
 
-    def _step(self):
+    def _run_one_role(self):
         decision = topology.decide_role(
             own=self._settings.host,
-            order=self._order(),
-            answers=self._ask(),
-            avoided=self._avoid(),
+            order=self._candidate_order(),
+            answers=self._query_roles(),
+            avoided=self._avoided_hosts(),
             reaches_store=self._reaches_store,
         )
         waits = decision.verdict is topology.Verdict.WAIT
-        self._waited = self._waited + 1 if waits else 0
-        if waits and self._waited <= _MAX_WAITS:
-            gevent.sleep(_WAIT_FOR_HUB_S * self._rng.uniform(0.7, 1.3))
+        self._hub_waits = self._hub_waits + 1 if waits else 0
+        if waits and self._hub_waits <= _MAX_HUB_WAITS:
+            gevent.sleep(_HUB_WAIT_S * self._rng.uniform(0.7, 1.3))
         elif decision.verdict is topology.Verdict.FOLLOW:
-            self._follow(decision.hub)
+            self._run_as_follower(decision.hub)
         else:
-            self._lead()
+            self._run_as_hub()
 
-    def _order(self):
-        hosts = self._world.hosts(self._settings.place.region)
+    def _candidate_order(self):
+        hosts = self._cluster_state.hosts(self._settings.place.region)
         return topology.candidate_order(
             self._settings.place.region, hosts | {self._settings.host}
         )
 
-    def _avoid(self):
+    def _avoided_hosts(self):
         now = self._clock()
-        self._avoided = {
-            host: until for host, until in self._avoided.items() if until > now
+        self._avoided_until = {
+            host: until
+            for host, until in self._avoided_until.items()
+            if until > now
         }
-        return frozenset(self._avoided)
+        return frozenset(self._avoided_until)
 
-    def _ask(self):
+    def _query_roles(self):
         """Ask some nodes for their roles; return a dict by host."""
-        avoided = self._avoid()
+        avoided = self._avoided_hosts()
         hosts = [
             host
-            for host in self._order()
+            for host in self._candidate_order()
             if host != self._settings.host and host not in avoided
         ]
-        return _role_call.ask_roles(hosts, port=self._port)
+        return _peer_requests.query_roles(hosts, port=self._port)
 
-    def _lead(self):
+    def _run_as_hub(self):
         """Be the hub: read the store and serve followers."""
         self._hub = _hub.Hub(
-            mirror=self._mirror,
+            store_cache=self._store_cache,
             own_state=self._own_state,
             on_roster=self._on_roster,
-            before=[
+            expected_members=[
                 state
                 for state in self._states
-                if state.host not in self._avoid()
+                if state.host not in self._avoided_hosts()
             ],
         )
         self._set_role(topology.RoleKind.HUB, self._settings.host, True)
         self._hub.broadcast_roster()
-        pulse = gevent.spawn(self._hub.run_pulse)
+        heartbeats = gevent.spawn(self._hub.run_heartbeats)
         reader = gevent.spawn(self._make_reader().run)
         try:
             while not reader.ready():
@@ -224,62 +236,62 @@
                     return
         finally:
             reader.kill()
-            pulse.kill()
+            heartbeats.kill()
             hub, self._hub = self._hub, None
-            hub.pulse(leaving=True)
+            hub.send_heartbeat(leaving=True)
             self._set_role(topology.RoleKind.UNDECIDED, "", False)
 
     def _make_reader(self):
         return _store_reader.StoreReader(
-            mirror=self._mirror,
+            store_cache=self._store_cache,
             feed=self._feed,
             events=self._events,
             rng=self._rng,
             on_update=self._hub.broadcast_update,
-            on_contact=self._note_contact,
-            on_outage=self._note_outage,
+            on_contact=self._on_store_contact,
+            on_outage=self._on_store_outage,
         )
 
     def _should_step_down(self):
-        order = self._order()
+        order = self._candidate_order()
         if order[0] == self._settings.host and self._reaches_store:
             return False
         if not self._reaches_store:
-            return self._knows_better_hub()
-        answers = self._ask()
+            return self._other_hub_reaches_store()
+        answers = self._query_roles()
         return topology.steps_down(
             own=self._settings.host, order=order, answers=answers
         )
 
-    def _note_contact(self):
+    def _on_store_contact(self):
         if not self._reaches_store:
             self._events.notice(
-                "store-regained", revision=self._mirror.revision
+                "store-regained", revision=self._store_cache.revision
             )
         self._reaches_store = True
-        self._world.on_contact()
+        self._cluster_state.on_contact()
         self._hub.set_store_answers(True)
         self._set_role(topology.RoleKind.HUB, self._settings.host, True)
 
-    def _note_outage(self, error, failures):
-        self._world.on_outage()
+    def _on_store_outage(self, error, failures):
+        self._cluster_state.on_outage()
         if self._reaches_store or failures == 1:
             self._events.notice("store-lost", error=str(error))
         self._reaches_store = False
         self._hub.set_store_answers(False)
         self._set_role(topology.RoleKind.HUB, self._settings.host, False)
 
-    def _follow(self, hub):
+    def _run_as_follower(self, hub):
         """Follow a hub until it fails."""
         reason = "unreachable"
         try:
             channel = _channel.connect(
                 host=hub,
                 port=self._port,
-                timeout=_role_call.CONNECT_TIMEOUT_S,
+                timeout=_peer_requests.CONNECT_TIMEOUT_S,
             )
         except _channel.ChannelClosed as error:
-            self._avoided[hub] = self._clock() + _AVOID_S
+            self._avoided_until[hub] = self._clock() + _FAILED_HUB_AVOID_S
             self._events.notice("hub-lost", hub=hub, reason=str(error))
             return
         writer = None
@@ -288,31 +300,31 @@
                 node_pb2.PeerMessage(
                     join=node_pb2.Join(
                         state=self._own_state(),
-                        revision=self._mirror.revision,
+                        revision=self._store_cache.revision,
                     )
                 ),
-                timeout=_role_call.ASK_TIMEOUT_S,
+                timeout=_peer_requests.REQUEST_TIMEOUT_S,
             )
             writer = gevent.spawn(self._send_states, channel)
-            reason = self._receive(channel, hub)
+            reason = self._receive_from_hub(channel, hub)
         except _channel.ChannelClosed as error:
             reason = str(error)
         finally:
             if writer is not None:
                 writer.kill()
             channel.close()
-            self._avoided[hub] = self._clock() + _AVOID_S
+            self._avoided_until[hub] = self._clock() + _FAILED_HUB_AVOID_S
             self._events.notice("hub-lost", hub=hub, reason=reason)
             self._set_role(topology.RoleKind.UNDECIDED, "", False)
 
-    def _receive(self, channel, hub):
+    def _receive_from_hub(self, channel, hub):
         """Take over what the hub sends; return why it is left."""
         checked = float("-inf")
         while True:
-            message = channel.receive(timeout=_hub.SILENCE_S)
+            message = channel.receive(timeout=_hub.PEER_TIMEOUT_S)
             kind = message.WhichOneof("body")
             if kind == "update":
-                self._mirror.take(message.update)
+                self._store_cache.apply_update(message.update)
             elif kind == "roster":
                 self._on_roster(list(message.roster.nodes))
             elif kind == "role":
@@ -320,25 +332,25 @@
             elif kind == "pulse":
                 if message.pulse.leaving:
                     return "stops"
-                self._take_pulse(hub, message.pulse.store_answers)
+                self._on_heartbeat(hub, message.pulse.store_answers)
                 now = self._clock()
                 if (
                     not message.pulse.store_answers
                     and now - checked >= _STORE_CHECK_INTERVAL_S
                 ):
                     checked = now
-                    if self._check_store() or self._knows_better_hub():
+                    if self._probe_store() or self._other_hub_reaches_store():
                         return "does not reach the store"
 
-    def _take_pulse(self, hub, store_answers):
+    def _on_heartbeat(self, hub, store_answers):
         if store_answers:
-            self._world.on_contact()
+            self._cluster_state.on_contact()
         else:
-            self._world.on_outage()
+            self._cluster_state.on_outage()
         self._reaches_store = store_answers
         self._set_role(topology.RoleKind.FOLLOWER, hub, store_answers)
 
-    def _check_store(self):
+    def _probe_store(self):
         try:
             self._feed.check()
         except store.StoreError:
@@ -346,20 +358,20 @@
         self._reaches_store = True
         return True
 
-    def _knows_better_hub(self):
+    def _other_hub_reaches_store(self):
         return any(
             role.kind is topology.RoleKind.HUB and role.store_answers
-            for role in self._ask().values()
+            for role in self._query_roles().values()
         )
 
     def _send_states(self, channel):
         try:
             while True:
-                self._changed.wait(timeout=_hub.PULSE_INTERVAL_S)
-                self._changed.clear()
+                self._state_changed.wait(timeout=_hub.HEARTBEAT_INTERVAL_S)
+                self._state_changed.clear()
                 channel.send(
                     node_pb2.PeerMessage(state=self._own_state()),
-                    timeout=_role_call.ASK_TIMEOUT_S,
+                    timeout=_peer_requests.REQUEST_TIMEOUT_S,
                 )
         except _channel.ChannelClosed:
             channel.close()
@@ -371,19 +383,19 @@
             kind = message.WhichOneof("body")
             if kind == "join" and self._hub is not None:
                 self._hub.serve(channel, message.join)
-            elif kind == "fetch" and self._mirror.revision:
+            elif kind == "fetch" and self._store_cache.revision:
                 channel.send(
                     node_pb2.PeerMessage(
-                        update=self._mirror.message_since(
+                        update=self._store_cache.update_since(
                             message.fetch.revision
                         )
                     ),
-                    timeout=_role_call.ASK_TIMEOUT_S,
+                    timeout=_peer_requests.REQUEST_TIMEOUT_S,
                 )
             else:
                 channel.send(
-                    _role_call.render_role(self._role),
-                    timeout=_role_call.ASK_TIMEOUT_S,
+                    _peer_requests.encode_role(self._role),
+                    timeout=_peer_requests.REQUEST_TIMEOUT_S,
                 )
         except _channel.ChannelClosed:
             pass
@@ -421,4 +433,4 @@
         )
 
     def _apply(self, items, revision, whole):
-        self._world.apply(self._feed.decode(items, whole=whole))
+        self._cluster_state.apply(self._feed.decode(items, whole=whole))
--- a/wigeonrouter/node/_sender.py
+++ b/wigeonrouter/node/_sender.py
@@ -8,19 +8,19 @@
 from wigeonrouter import core
 from wigeonrouter import http1
 from wigeonrouter import placement
-from wigeonrouter.node import dialect
+from wigeonrouter.node import messages
 
 _CONNECTIONS_PER_SERVER = 64
 _CONNECT_TIMEOUT_S = 0.25
 # A server may close an idle connection at any time. A request that must not
 # run twice cannot be repeated then, so it goes over a connection that was in
 # use just before.
-_MAX_IDLE_ONCE_S = 0.5
+_MAX_IDLE_NON_IDEMPOTENT_S = 0.5
 MAX_RESPONSE_BYTES = 64 << 20
 # A backend server answers so when the time that it was given has passed.
-_GATEWAY_TIMEOUT = 504
+_GATEWAY_TIMEOUT_STATUS = 504
 # Answers to earlier requests that may precede the right one.
-_MAX_STRAY_ANSWERS = 4
+_MAX_STRAY_RESPONSES = 4
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -39,20 +39,28 @@
     ended: placement.Ended
     may_have_run: bool
     response: http1.HttpResponse | None = None
-    answer: dialect.ServerAnswer | None = None
-    late: bool = False
+    metadata: messages.ResponseMetadata | None = None
+    timed_out: bool = False
     detail: str = ""
 
 
 class Sender:
     """Sends attempts over pooled connections."""
 
-    def __init__(self, *, pool, wire, clock=time.monotonic):
+    def __init__(self, *, pool, codec, clock=time.monotonic):
         self._pool = pool
-        self._wire = wire
+        self._codec = codec
         self._clock = clock
 
-    def send(self, *, request, request_id, registration, idempotent, give_up):
+    def send(
+        self,
+        *,
+        request,
+        request_id,
+        registration,
+        idempotent,
+        response_deadline,
+    ):
         """Send a request and wait for the answer.
 
         A task that is killed meanwhile closes the connection, which ends
@@ -71,8 +79,10 @@
             connection = self._pool.checkout(
                 address=registration.address,
                 limit=_CONNECTIONS_PER_SERVER,
-                deadline=min(give_up, self._clock() + _CONNECT_TIMEOUT_S),
-                max_idle=None if idempotent else _MAX_IDLE_ONCE_S,
+                deadline=min(
+                    response_deadline, self._clock() + _CONNECT_TIMEOUT_S
+                ),
+                max_idle=None if idempotent else _MAX_IDLE_NON_IDEMPOTENT_S,
             )
         except http1.ConnectFailed as error:
             return Attempt(
@@ -81,10 +91,12 @@
                 detail=str(error),
             )
         exchange = _Exchange(
-            connection=connection, wire=self._wire, clock=self._clock
+            connection=connection, codec=self._codec, clock=self._clock
         )
         try:
-            return exchange.run(request, request_id, registration, give_up)
+            return exchange.run(
+                request, request_id, registration, response_deadline
+            )
         finally:
             if exchange.reusable:
                 self._pool.put_back(registration.address, connection)
@@ -95,21 +107,21 @@
 class _Exchange:
     """One request and its answer on one connection."""
 
-    def __init__(self, *, connection, wire, clock):
+    def __init__(self, *, connection, codec, clock):
         self._connection = connection
-        self._wire = wire
+        self._codec = codec
         self._clock = clock
         self.reusable = False
 
-    def run(self, request, request_id, registration, give_up):
-        remaining = give_up - self._clock()
+    def run(self, request, request_id, registration, response_deadline):
+        remaining = response_deadline - self._clock()
         if remaining <= 0:
             return Attempt(
                 ended=placement.Ended.CANCELLED,
                 may_have_run=False,
                 detail="no time left",
             )
-        data = self._wire.render_request(
+        data = self._codec.render_request(
             request=request,
             remaining=remaining,
             instance=registration.instance,
@@ -128,7 +140,7 @@
             return Attempt(
                 ended=placement.Ended.LOST,
                 may_have_run=True,
-                late=isinstance(error, TimeoutError),
+                timed_out=isinstance(error, TimeoutError),
                 detail=f"{type(error).__name__}: {error}",
             )
 
@@ -141,28 +153,28 @@
         stray = 0
         while True:
             response = reader.read(request.method)
-            answer = self._wire.read_answer(response)
-            if answer.request_id == request_id:
+            metadata = self._codec.read_response(response)
+            if metadata.request_id == request_id:
                 break
-            if not answer.request_id and answer.not_run and not stray:
+            if not metadata.request_id and metadata.not_executed and not stray:
                 break
             stray += 1
-            if stray > _MAX_STRAY_ANSWERS:
+            if stray > _MAX_STRAY_RESPONSES:
                 raise http1.MalformedMessage(
                     core.problems.ANSWER_INVALID, "answers of other requests"
                 )
         self.reusable = reader.reusable and not stray
         return Attempt(
-            ended=_ending(response, answer),
-            may_have_run=not answer.not_run,
-            late=response.status == _GATEWAY_TIMEOUT,
+            ended=_classify(response, metadata),
+            may_have_run=not metadata.not_executed,
+            timed_out=response.status == _GATEWAY_TIMEOUT_STATUS,
             response=response,
-            answer=answer,
+            metadata=metadata,
         )
 
 
-def _ending(response, answer):
-    if answer.not_run:
+def _classify(response, metadata):
+    if metadata.not_executed:
         return placement.Ended.REFUSED
     if response.status >= 500:
         return placement.Ended.FAILED
--- a/wigeonrouter/node/_servers.py
+++ b/wigeonrouter/node/_server_pool.py
@@ -14,24 +14,24 @@
 from wigeonrouter import topology
 
 # Servers of other regions that are asked before a choice.
-PROBES_FAR = 3
-_PROBE_TIMEOUT_S = 0.012
+REMOTE_PROBES = 3
+_LOCAL_PROBE_TIMEOUT_S = 0.012
 # A far server is asked over a new connection at times, which takes a second
 # round trip.
-_FAR_PROBE_ROUND_TRIPS = 2.2
-_FAR_PROBE_MARGIN_S = 0.03
-_FAR_ROUND_TRIP_S = 0.042
+_REMOTE_PROBE_ROUND_TRIPS = 2.2
+_REMOTE_PROBE_MARGIN_S = 0.03
+_REMOTE_ROUND_TRIP_S = 0.042
 # While the own region is short of room, this many servers of other regions
 # are asked at this interval; interest ends after a time.
-_WATCHED_FAR = 6
-_FAR_INTERVAL_S = 0.05
-_FAR_INTEREST_S = 0.3
+_POLLED_REMOTE_SERVERS = 6
+_REMOTE_POLL_INTERVAL_S = 0.05
+_REMOTE_POLL_DURATION_S = 0.3
 # Reports from other regions that are older are not used.
-_FAR_FRESH_S = 0.2
-_NEAR_ROUND_TRIP_S = 0.0015
+_REMOTE_REPORT_MAX_AGE_S = 0.2
+_LOCAL_ROUND_TRIP_S = 0.0015
 # An attempt that ended sooner than this many times the expected time says
 # nothing against its server.
-_PATIENCE = 2.0
+_EARLY_TIMEOUT_FACTOR = 2.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -50,17 +50,17 @@
     """
 
     registration: topology.Registration
-    at: float
+    granted_at: float
     slowness: float
-    full: bool
+    near_full: bool
     report_age: float | None
     worth: float
-    load: float
+    expected_load: float
     round_trip: float
-    expected: float
+    expected_latency: float
 
 
-class Servers:
+class ServerPool:
     """Owns the views of the servers of one service.
 
     Args:
@@ -79,8 +79,8 @@
         self._registrations = {}
         self._views = {}
         self._times = placement.WorkTimes()
-        self._far_task = None
-        self._far_wanted_until = float("-inf")
+        self._remote_poll_task = None
+        self._remote_poll_until = float("-inf")
 
     @property
     def times(self):
@@ -93,12 +93,12 @@
         return sum(view.in_flight for view in self._views.values())
 
     @property
-    def any(self):
+    def has_servers(self):
         """Whether there is any server."""
         return bool(self._views)
 
     @property
-    def near(self):
+    def local(self):
         """List of the views of the own region."""
         return [
             view
@@ -107,7 +107,7 @@
         ]
 
     @property
-    def far(self):
+    def remote(self):
         """List of the views of other regions."""
         return [
             view
@@ -118,14 +118,14 @@
     @property
     def slots(self):
         """Slots of the near servers, of all where none is near."""
-        return sum(view.slots for view in self._nearest())
+        return sum(view.slots for view in self._preferred())
 
     @property
-    def used_share(self):
+    def utilization(self):
         """Share of these slots that is expected to be in use."""
         now = self._clock()
         used = sum(
-            placement.expected_load(view, now) for view in self._nearest()
+            placement.expected_load(view, now) for view in self._preferred()
         )
         return used / max(1, self.slots)
 
@@ -138,8 +138,8 @@
         """
         self._health_path = health_path
         registrations, views = {}, {}
-        for entry in known:
-            registration = entry.registration
+        for record in known:
+            registration = record.registration
             if registration.state is topology.RegistrationState.DRAINING:
                 continue
             instance = registration.instance
@@ -151,7 +151,7 @@
             views[instance] = dataclasses.replace(
                 view,
                 slots=registration.slots,
-                warm_until=entry.learned + registration.warm_up,
+                warm_until=record.learned + registration.warm_up,
             )
         self._registrations, self._views = registrations, views
 
@@ -160,26 +160,26 @@
         self._registrations.pop(instance, None)
         self._views.pop(instance, None)
 
-    def fresh_far(self):
+    def remote_with_fresh_reports(self):
         """Return the far views with fresh reports, and keep asking them."""
-        self._far_wanted_until = self._clock() + _FAR_INTEREST_S
-        if self._far_task is None or self._far_task.ready():
-            self._far_task = gevent.spawn(self._watch_far)
+        self._remote_poll_until = self._clock() + _REMOTE_POLL_DURATION_S
+        if self._remote_poll_task is None or self._remote_poll_task.ready():
+            self._remote_poll_task = gevent.spawn(self._poll_remote)
         now = self._clock()
         return [
             view
-            for view in self.far
+            for view in self.remote
             if view.report is not None
-            and now - view.report.received < _FAR_FRESH_S
+            and now - view.report.received < _REMOTE_REPORT_MAX_AGE_S
         ]
 
-    def ask(self, views, *, far):
+    def probe(self, views, *, remote):
         """Ask servers for their load and wait for their answers."""
-        timeout = _PROBE_TIMEOUT_S
-        if far:
+        timeout = _LOCAL_PROBE_TIMEOUT_S
+        if remote:
             trip = max((view.round_trip for view in views), default=0.0)
-            timeout = _FAR_PROBE_MARGIN_S + _FAR_PROBE_ROUND_TRIPS * trip
-        self._prober.ask(
+            timeout = _REMOTE_PROBE_MARGIN_S + _REMOTE_PROBE_ROUND_TRIPS * trip
+        self._prober.probe(
             [
                 (self._registrations[view.instance], self._health_path)
                 for view in views
@@ -202,18 +202,18 @@
         load = placement.expected_load(view, now)
         grant = Grant(
             registration=self._registrations[view.instance],
-            at=now,
+            granted_at=now,
             slowness=placement.expected_slowness(
                 view, now, self._times.slowness
             ),
-            full=placement.is_full(load, view.slots),
+            near_full=placement.is_full(load, view.slots),
             report_age=(
                 None if view.report is None else now - view.report.received
             ),
             worth=pick.worth,
-            load=load,
+            expected_load=load,
             round_trip=view.round_trip,
-            expected=placement.expected_seconds(
+            expected_latency=placement.expected_seconds(
                 view, work=work, usual=self._times.slowness, now=now
             ),
         )
@@ -226,10 +226,10 @@
         """Take a request off a server; see Balancer.release()."""
         instance = grant.registration.instance
         view = self._views.get(instance)
-        if late and latency < _PATIENCE * grant.expected:
+        if late and latency < _EARLY_TIMEOUT_FACTOR * grant.expected_latency:
             ended = placement.Ended.LATE
         if view is not None:
-            self._learn(view, ended, load)
+            self._update_view(view, ended, load)
         if ended is placement.Ended.ANSWERED:
             self._times.learn_work(
                 route,
@@ -237,22 +237,24 @@
                     latency=latency,
                     round_trip=grant.round_trip,
                     slowness=grant.slowness,
-                    full=grant.full,
+                    full=grant.near_full,
                 ),
             )
 
-    def _learn(self, view, ended, load):
+    def _update_view(self, view, ended, load):
         now = self._clock()
         if load is not None:
             # The answered request is still among those reported.
-            report = self._report(load, view, now)
+            report = self._make_report(load, view, now)
             view = dataclasses.replace(view, report=report)
         view = dataclasses.replace(view, in_flight=max(0, view.in_flight - 1))
         if load is None and ended is placement.Ended.REFUSED:
-            view = dataclasses.replace(view, report=_full_report(view, now))
-        self._replace(placement.after_answer(view, ended=ended, now=now))
+            view = dataclasses.replace(
+                view, report=_saturated_report(view, now)
+            )
+        self._replace_view(placement.after_answer(view, ended=ended, now=now))
 
-    def _replace(self, view):
+    def _replace_view(self, view):
         """Take over a view, and note where it changes what gets work."""
         before = self._views[view.instance]
         self._views[view.instance] = view
@@ -264,11 +266,11 @@
                 silent=view.silent,
                 for_ms=round((view.retry_at - self._clock()) * 1000),
             )
-        elif _is_suspect(before) and not _is_suspect(view):
+        elif _has_recent_failures(before) and not _has_recent_failures(view):
             self._events.event("server-back", instance=view.instance)
 
-    def _nearest(self):
-        return self.near or self.far
+    def _preferred(self):
+        return self.local or self.remote
 
     def _new_view(self, registration):
         place = registration.place
@@ -278,47 +280,49 @@
             tier = placement.Tier.REGION
         else:
             tier = placement.Tier.REMOTE
-        far = tier is placement.Tier.REMOTE
+        remote = tier is placement.Tier.REMOTE
         return placement.ServerView(
             instance=registration.instance,
             tier=tier,
             slots=registration.slots,
-            round_trip=_FAR_ROUND_TRIP_S if far else _NEAR_ROUND_TRIP_S,
+            round_trip=_REMOTE_ROUND_TRIP_S if remote else _LOCAL_ROUND_TRIP_S,
         )
 
-    def _watch_far(self):
+    def _poll_remote(self):
         """Ask some servers of other regions again and again."""
-        while self._clock() < self._far_wanted_until:
-            views = self.far
-            chosen = self._rng.sample(views, min(len(views), _WATCHED_FAR))
-            self.ask(chosen, far=True)
-            gevent.sleep(_FAR_INTERVAL_S)
+        while self._clock() < self._remote_poll_until:
+            views = self.remote
+            chosen = self._rng.sample(
+                views, min(len(views), _POLLED_REMOTE_SERVERS)
+            )
+            self.probe(chosen, remote=True)
+            gevent.sleep(_REMOTE_POLL_INTERVAL_S)
 
-    def _on_probe(self, instance, answer):
+    def _on_probe(self, instance, result):
         view = self._views.get(instance)
         if view is None:
             return
         now = self._clock()
-        if answer is None:
-            self._replace(placement.after_silence(view, now=now))
+        if result is None:
+            self._replace_view(placement.after_silence(view, now=now))
             return
-        if not answer.mine:
+        if not result.instance_matches:
             self.misdirected(instance)
             return
         report = None
-        if answer.load is not None:
-            report = self._report(answer.load, view, now)
-        self._replace(
+        if result.load is not None:
+            report = self._make_report(result.load, view, now)
+        self._replace_view(
             placement.after_probe(
                 view,
                 report=report,
-                healthy=answer.healthy,
-                round_trip=answer.round_trip,
+                healthy=result.healthy,
+                round_trip=result.round_trip,
                 now=now,
             )
         )
 
-    def _report(self, load, view, now):
+    def _make_report(self, load, view, now):
         self._times.learn_slowness(load.slowness)
         return placement.LoadReport(
             running=load.running,
@@ -330,11 +334,11 @@
         )
 
 
-def _is_suspect(view):
+def _has_recent_failures(view):
     return view.failures > 0 or view.silent > 1
 
 
-def _full_report(view, now):
+def _saturated_report(view, now):
     """Return the report that a refusal for lack of room stands for."""
     return placement.LoadReport(
         running=view.slots,
--- a/wigeonrouter/node/_mirror.py
+++ b/wigeonrouter/node/_store_cache.py
@@ -6,11 +6,11 @@
 from wigeonrouter.schema import node_pb2
 
 # Larger messages are compressed; bytes between failure domains are paid.
-_COMPRESS_BYTES = 1_000
+_MIN_COMPRESSED_BYTES = 1_000
 _COMPRESSION_LEVEL = 3
 
 
-class Mirror:
+class StoreCache:
     """Owns the items of the store up to a revision.
 
     Args:
@@ -27,7 +27,7 @@
         """Revision of the store, 0 before anything was read."""
         return self._revision
 
-    def replace(self, items, revision):
+    def replace_all(self, items, revision):
         """Take over a complete listing."""
         if revision < self._revision:
             return
@@ -35,7 +35,7 @@
         self._revision = revision
         self._apply(tuple(items), revision, True)
 
-    def update(self, items, revision):
+    def apply_changes(self, items, revision):
         """Take over changes, oldest first; the last one of a key counts."""
         fresh = {}
         for item in items:
@@ -52,33 +52,33 @@
         if fresh:
             self._apply(tuple(fresh.values()), self._revision, False)
 
-    def message_since(self, revision):
+    def update_since(self, revision):
         """Return the Update that brings a copy of a revision up to date."""
         newer = [
             item for item in self._items.values() if item.version > revision
         ]
-        return render_update(
+        return encode_update(
             items=newer,
             keys=self._items,
             revision=self._revision,
             whole=True,
         )
 
-    def take(self, update):
+    def apply_update(self, update):
         """Take over an Update message."""
-        items, keys = parse_update(update)
+        items, keys = decode_update(update)
         if not update.whole:
-            self.update(items, update.revision)
+            self.apply_changes(items, update.revision)
             return
         if update.revision < self._revision:
             return
         merged = {key: self._items[key] for key in keys if key in self._items}
         for item in items:
             merged[item.key] = item
-        self.replace(merged.values(), update.revision)
+        self.replace_all(merged.values(), update.revision)
 
 
-def render_update(*, items, revision, whole=False, keys=()):
+def encode_update(*, items, revision, whole=False, keys=()):
     """Return the Update message of store items."""
     data = node_pb2.StoreItems(
         items=[
@@ -92,7 +92,7 @@
         ],
         keys=list(keys),
     ).SerializeToString()
-    compressed = len(data) > _COMPRESS_BYTES
+    compressed = len(data) > _MIN_COMPRESSED_BYTES
     if compressed:
         data = zlib.compress(data, _COMPRESSION_LEVEL)
     return node_pb2.Update(
@@ -100,7 +100,7 @@
     )
 
 
-def parse_update(update):
+def decode_update(update):
     """Return the pair (items, keys) of an Update message."""
     data = zlib.decompress(update.items) if update.compressed else update.items
     parsed = node_pb2.StoreItems.FromString(data)
--- a/wigeonrouter/node/_store_reader.py
+++ b/wigeonrouter/node/_store_reader.py
@@ -3,14 +3,14 @@
 import gevent
 
 from wigeonrouter import store
-from wigeonrouter.node import _mirror
+from wigeonrouter.node import _store_cache
 
 # A watch that brings nothing returns after this time, so that a hub that is
 # cut off from the store is noticed.
-_WATCH_S = 1.0
+_WATCH_TIMEOUT_S = 1.0
 # Changes in quick succession are read together.
-_PAUSE_AFTER_CHANGE_S = 0.25
-_FIRST_BACKOFF_S = 0.1
+_BATCH_DELAY_S = 0.25
+_MIN_BACKOFF_S = 0.1
 _MAX_BACKOFF_S = 0.5
 
 
@@ -28,9 +28,17 @@
     """
 
     def __init__(
-        self, *, mirror, feed, events, rng, on_update, on_contact, on_outage
+        self,
+        *,
+        store_cache,
+        feed,
+        events,
+        rng,
+        on_update,
+        on_contact,
+        on_outage,
     ):
-        self._mirror = mirror
+        self._store_cache = store_cache
         self._feed = feed
         self._events = events
         self._rng = rng
@@ -49,7 +57,7 @@
                 self._on_outage(error, failures)
                 backoff = min(
                     _MAX_BACKOFF_S,
-                    _FIRST_BACKOFF_S * 2 ** min(8, failures - 1),
+                    _MIN_BACKOFF_S * 2 ** min(8, failures - 1),
                 )
                 gevent.sleep(backoff * self._rng.uniform(0.7, 1.3))
                 continue
@@ -58,28 +66,28 @@
     def _read_once(self):
         try:
             events = self._feed.watch(
-                revision=self._mirror.revision, wait=_WATCH_S
+                revision=self._store_cache.revision, wait=_WATCH_TIMEOUT_S
             )
         except store.HistoryLost:
             self._events.notice(
-                "store-history-lost", after=self._mirror.revision
+                "store-history-lost", after=self._store_cache.revision
             )
             self._relist()
             return
         self._on_contact()
-        self._mirror.update(events.changes, events.revision)
+        self._store_cache.apply_changes(events.changes, events.revision)
         if not events.changes:
             return
         self._on_update(
-            _mirror.render_update(
+            _store_cache.encode_update(
                 items=events.changes, revision=events.revision
             )
         )
-        gevent.sleep(_PAUSE_AFTER_CHANGE_S)
+        gevent.sleep(_BATCH_DELAY_S)
 
     def _relist(self):
-        before = self._mirror.revision
+        before = self._store_cache.revision
         listing = self._feed.list()
         self._on_contact()
-        self._mirror.replace(listing.items, listing.revision)
-        self._on_update(self._mirror.message_since(before))
+        self._store_cache.replace_all(listing.items, listing.revision)
+        self._on_update(self._store_cache.update_since(before))
--- a/wigeonrouter/node/dialect.py
+++ b/wigeonrouter/node/messages.py
@@ -6,7 +6,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Incoming:
+class RequestMetadata:
     """What a caller's request says of itself.
 
     Attributes:
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Load:
+class ServerLoad:
     """A backend server's statement of its load.
 
     Attributes:
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class ServerAnswer:
+class ResponseMetadata:
     """What a backend server's response says beside its content.
 
     Attributes:
@@ -43,9 +43,9 @@
 
     request_id: str
     instance: str
-    not_run: bool
+    not_executed: bool
     misdirected: bool
-    load: Load | None
+    load: ServerLoad | None
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Refused:
+class Rejection:
     """A request that ends with a problem.
 
     Attributes:
--- a/wigeonrouter/platform/_whole_path_test.py
+++ b/wigeonrouter/platform/_end_to_end_test.py
@@ -285,7 +285,7 @@
     for server in servers:
         store.remove(f"servers/{server.instance}")
     store.refusing = False
-    wait_until(lambda: store.calls and node.region.role.store_answers)
+    wait_until(lambda: store.calls and node.region_member.role.store_answers)
     gevent.sleep(0.3)
     assert caller.send("/read/a").status == 200
     store.put("servers/i-1", servers[0].entry(sequence=2))
@@ -317,7 +317,7 @@
     start_ready(backend, node, "i-1")
     caller = tools.Caller(address=settings.caller_address)
     assert caller.send("/read/a", remaining=3900).status == 200
-    assert node.kept_waits == {"r-read": 4.0}
+    assert node.stored_usual_waits == {"r-read": 4.0}
 
 
 def test_metrics_count_requests_by_route_and_outcome(backend, node, caller):
@@ -351,7 +351,7 @@
     )
     assert node.settings.bounds.stop_grace == 3.0
     assert node.settings.peer_ports != (port, 0)
-    wait_until(lambda: node.region.peers[0].capacity == 3000, timeout=2)
+    wait_until(lambda: node.region_member.peers[0].capacity == 3000, timeout=2)
 
 
 def test_failure_inside_an_attempt_is_no_refusal(
@@ -363,7 +363,7 @@
     def fail(self, response):
         raise RuntimeError("fault")
 
-    monkeypatch.setattr(_http.HttpDialect, "read_answer", fail)
+    monkeypatch.setattr(_http.HttpCodec, "read_response", fail)
     answer = caller.send("/write/a", method="POST", body=b"x")
     assert answer.status not in (429, 503) and len(server.runs) == 1
 
--- a/wigeonrouter/platform/_feed.py
+++ b/wigeonrouter/platform/_feed.py
@@ -1,8 +1,8 @@
 """Reads and writes the store, and decodes what lies in it."""
 
 from wigeonrouter import topology
-from wigeonrouter.platform import _entries
 from wigeonrouter.platform import _fields
+from wigeonrouter.platform import _store_values
 
 # One listing and one watch cover the configuration, the registrations and
 # the keys of the project.
@@ -43,18 +43,19 @@
 
     def check(self):
         """Return normally where the store answers this node."""
-        self._client.list(_entries.NODE_PREFIX, stale=True)
+        self._client.list(_store_values.NODE_PREFIX, stale=True)
 
     def register(self, *, region, host):
         """Make this node known to others of its region."""
         self._client.create(
-            f"{_entries.NODE_PREFIX}{region}/{host}", _REGISTERED
+            f"{_store_values.NODE_PREFIX}{region}/{host}", _REGISTERED
         )
 
     def remember_wait(self, *, route, seconds):
         """Keep how long callers of a route usually wait."""
         self._client.write(
-            f"{_entries.WAIT_PREFIX}{route}", b"%d" % round(seconds * 1000)
+            f"{_store_values.WAIT_PREFIX}{route}",
+            b"%d" % round(seconds * 1000),
         )
 
     def decode(self, items, *, whole):
@@ -69,23 +70,23 @@
         self._client.close()
 
     def _decode_item(self, item):
-        if item.key == _entries.CONFIGURATION_KEY:
+        if item.key == _store_values.CONFIGURATION_KEY:
             return _decode_configuration(item)
-        if item.key.startswith(_entries.SERVER_PREFIX):
+        if item.key.startswith(_store_values.SERVER_PREFIX):
             return self._decode_registration(item)
-        if item.key.startswith(_entries.NODE_PREFIX):
+        if item.key.startswith(_store_values.NODE_PREFIX):
             return _decode_node(item)
-        if item.key.startswith(_entries.WAIT_PREFIX):
+        if item.key.startswith(_store_values.WAIT_PREFIX):
             return _decode_wait(item)
         return None
 
     def _decode_registration(self, item):
-        instance = item.key.removeprefix(_entries.SERVER_PREFIX)
+        instance = item.key.removeprefix(_store_values.SERVER_PREFIX)
         reason = ""
         if item.value is not None:
             try:
                 return topology.RegistrationWritten(
-                    registration=_entries.decode_registration(
+                    registration=_store_values.decode_registration(
                         instance, item.value, self._regions
                     ),
                     revision=item.version,
@@ -103,7 +104,7 @@
             reason="removed", revision=item.version
         )
     try:
-        configuration = _entries.decode_configuration(item.value)
+        configuration = _store_values.decode_configuration(item.value)
     except _fields.FieldError as error:
         return topology.ConfigurationRejected(
             reason=str(error), revision=item.version
@@ -114,9 +115,9 @@
 
 
 def _decode_node(item):
-    region, _, host = item.key.removeprefix(_entries.NODE_PREFIX).partition(
-        "/"
-    )
+    region, _, host = item.key.removeprefix(
+        _store_values.NODE_PREFIX
+    ).partition("/")
     if not host:
         return None
     if item.value is None:
@@ -128,6 +129,6 @@
     if item.value is None or not item.value.isdigit():
         return None
     return topology.WaitLearned(
-        route=item.key.removeprefix(_entries.WAIT_PREFIX),
+        route=item.key.removeprefix(_store_values.WAIT_PREFIX),
         seconds=int(item.value) / 1000,
     )
--- a/wigeonrouter/platform/_http.py
+++ b/wigeonrouter/platform/_http.py
@@ -4,7 +4,7 @@
 
 from wigeonrouter import core
 from wigeonrouter import http1
-from wigeonrouter.node import dialect
+from wigeonrouter.node import messages
 from wigeonrouter.platform import _fields
 
 _REQUEST_ID = b"request-id"
@@ -25,13 +25,13 @@
 _RESOLVE_PATH = "/api/resolve"
 
 
-class HttpDialect:
+class HttpCodec:
     """Translates between HTTP messages and the node's records."""
 
     def read_request(self, request):
         """Return the dialect.Incoming of a caller's HttpRequest."""
         remaining = request.header(_DEADLINE)
-        return dialect.Incoming(
+        return messages.RequestMetadata(
             request_id=request.header(_REQUEST_ID).decode("latin-1"),
             remaining=(
                 int(remaining) / 1000
@@ -61,36 +61,36 @@
         """Return the bytes of a health check."""
         return f"GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n".encode()
 
-    def read_answer(self, response):
+    def read_response(self, response):
         """Return the dialect.ServerAnswer of a backend server's response."""
         not_executed = (
             bool(response.header(_NOT_EXECUTED)) or response.status == 421
         )
-        return dialect.ServerAnswer(
+        return messages.ResponseMetadata(
             request_id=response.header(_REQUEST_ID).decode("latin-1"),
             instance=response.header(_INSTANCE).decode("latin-1"),
-            not_run=not_executed,
+            not_executed=not_executed,
             misdirected=response.status == 421,
             load=_read_load(response.header(_LOAD)),
         )
 
-    def refusal(self, *, refusal, request_id):
+    def render_rejection(self, *, rejection, request_id):
         """Return the HttpResponse of a node.Refused."""
         headers = [(b"content-type", b"application/json")]
         if request_id:
             headers.append((_REQUEST_ID, request_id.encode("latin-1")))
-        if refusal.retry_after is not None:
+        if rejection.retry_after is not None:
             headers.append(
-                (b"retry-after", b"%.3f" % max(0.0, refusal.retry_after))
+                (b"retry-after", b"%.3f" % max(0.0, rejection.retry_after))
             )
-        body = json.dumps({"error": refusal.problem.name})
+        body = json.dumps({"error": rejection.problem.name})
         return http1.HttpResponse(
-            status=refusal.problem.status,
+            status=rejection.problem.status,
             headers=tuple(headers),
             body=body.encode(),
         )
 
-    def is_readiness(self, path):
+    def is_readiness_path(self, path):
         """Return whether a path asks if the node is ready."""
         return path == _READINESS_PATH
 
@@ -98,7 +98,7 @@
         """Return the dialect.EntryQuery of a request, or None."""
         if path != _RESOLVE_PATH:
             return None
-        return dialect.EntryQuery(
+        return messages.EntryQuery(
             host=query.get("name", "").lower(),
             place=core.Place(
                 region=query.get("region", ""),
@@ -106,15 +106,15 @@
             ),
         )
 
-    def entry_answer(self, *, addresses, lifetime):
+    def render_entries(self, *, addresses, ttl):
         """Return the HttpResponse that names addresses of entries."""
         document = {
             "addresses": [str(address) for address in addresses],
-            "ttl": _fields.format_time(lifetime),
+            "ttl": _fields.format_time(ttl),
         }
         return _json_response(200, document)
 
-    def readiness_answer(self, *, ready):
+    def render_readiness(self, *, ready):
         """Return the HttpResponse that tells whether the node is ready."""
         return _json_response(200 if ready else 503, {"ready": ready})
 
@@ -138,7 +138,7 @@
     slowness = 1.0
     if len(figures) > 3 and figures[3] > 0:
         slowness = figures[3] / _USUAL_SLOWNESS
-    return dialect.Load(
+    return messages.ServerLoad(
         running=int(figures[0]),
         queued=int(figures[1]),
         slots=max(1, int(figures[2])),
--- a/wigeonrouter/platform/_several_nodes_test.py
+++ b/wigeonrouter/platform/_multi_node_test.py
@@ -22,20 +22,22 @@
         for host in _HOSTS
     ]
     wait_until(lambda: len(hubs(nodes)) == 1 and followers(nodes) == 2)
-    wait_until(lambda: all(len(node.region.peers) == 3 for node in nodes))
+    wait_until(
+        lambda: all(len(node.region_member.peers) == 3 for node in nodes)
+    )
     return nodes
 
 
 def hubs(nodes):
     """Return the nodes that read the store."""
     kind = topology.RoleKind.HUB
-    return [node for node in nodes if node.region.role.kind is kind]
+    return [node for node in nodes if node.region_member.role.kind is kind]
 
 
 def followers(nodes):
     """Return how many nodes follow a hub."""
     kind = topology.RoleKind.FOLLOWER
-    return sum(node.region.role.kind is kind for node in nodes)
+    return sum(node.region_member.role.kind is kind for node in nodes)
 
 
 def callers_of(nodes):
--- a/wigeonrouter/platform/conftest.py
+++ b/wigeonrouter/platform/conftest.py
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Answer:
+class CallerResponse:
     """What a caller received."""
 
     status: int
@@ -110,7 +110,7 @@
                 "Deadline-Ms": str(remaining),
             },
         )
-        answer = Answer(
+        answer = CallerResponse(
             status=response.status_code,
             body=bytes(response.read()),
             headers={k.lower(): v for k, v in response.items()},
@@ -209,7 +209,7 @@
                 ),
                 regions=settings.regions,
             ),
-            wire=_http.HttpDialect(),
+            codec=_http.HttpCodec(),
             events=events_api.EventLog(lines_per_second=0),
         )
         nodes.append(node)
--- a/wigeonrouter/platform/main.py
+++ b/wigeonrouter/platform/main.py
@@ -47,7 +47,7 @@
             ),
             regions=settings.regions,
         ),
-        wire=_http.HttpDialect(),
+        codec=_http.HttpCodec(),
         events=events,
     )
     stopping = event.Event()
--- a/wigeonrouter/platform/stage.py
+++ b/wigeonrouter/platform/testing.py
@@ -9,18 +9,18 @@
 
 from wigeonrouter import core
 from wigeonrouter import http1
-from wigeonrouter.platform import _entries
 from wigeonrouter.platform import _feed
 from wigeonrouter.platform import _fields
+from wigeonrouter.platform import _store_values
 
-CONFIGURATION_KEY = _entries.CONFIGURATION_KEY
+CONFIGURATION_KEY = _store_values.CONFIGURATION_KEY
 # Statuses that promise that the request has not run and never will.
 _NOT_RUN = frozenset({408, 421, 429, 503})
 _NOT_FOUND = 404
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Reply:
+class CallerResponse:
     """What a caller received.
 
     Attributes:
@@ -47,7 +47,7 @@
 
 def server_key(instance):
     """Return the store's key of a backend server's registration."""
-    return f"{_entries.SERVER_PREFIX}{instance}"
+    return f"{_store_values.SERVER_PREFIX}{instance}"
 
 
 def make_feed(regions):
@@ -174,7 +174,7 @@
     )
 
 
-def read_reply(receive, *, method, max_bytes=1 << 20):
+def read_response(receive, *, method, max_bytes=1 << 20):
     """Read a Reply.
 
     Args:
@@ -186,7 +186,7 @@
     reader = http1.ResponseReader(receive=receive, max_bytes=max_bytes)
     response = reader.read(method)
     stamp = response.header(b"server-stamp").decode()
-    return Reply(
+    return CallerResponse(
         status=response.status,
         request_id=response.header(b"request-id").decode(),
         instance=stamp.removeprefix("stamp."),
--- a/wigeonrouter/soak/_callers.py
+++ b/wigeonrouter/soak/_callers.py
@@ -7,7 +7,7 @@
 from gevent import socket
 
 from wigeonrouter import http1
-from wigeonrouter.platform import stage
+from wigeonrouter.platform import testing
 from wigeonrouter.soak import _records
 
 _PATIENCE_S = 3.0
@@ -44,7 +44,7 @@
         """
         with gevent.Timeout(patience, TimeoutError()):
             self._sock.sendall(data)
-            return stage.read_reply(self._receive, method=method)
+            return testing.read_response(self._receive, method=method)
 
     def close(self):
         """Close the connection."""
@@ -92,7 +92,7 @@
         request_id = f"r{next(self._numbers):07d}"
         target = f"{route.prefix}{request_id}"
         method = "GET" if route.idempotent else "POST"
-        data = stage.render_request(
+        data = testing.render_request(
             method=method,
             target=target,
             host=route.host,
@@ -231,10 +231,10 @@
             gevent.Timeout(_ENTRY_TIMEOUT_S, TimeoutError()),
             socket.create_connection((address.host, address.port)) as sock,
         ):
-            sock.sendall(stage.render_entry_query(host=host, place=place))
-            reply = stage.read_reply(
+            sock.sendall(testing.render_entry_query(host=host, place=place))
+            reply = testing.read_response(
                 lambda: sock.recv(_RECEIVE_BYTES), method=b"GET"
             )
-            return stage.read_entries(reply)
+            return testing.read_entries(reply)
     except (OSError, ValueError, http1.MalformedMessage):
         return None
--- a/wigeonrouter/soak/_checks_test.py
+++ b/wigeonrouter/soak/_checks_test.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from wigeonrouter.platform import stage
+from wigeonrouter.platform import testing
 from wigeonrouter.soak import _checks
 from wigeonrouter.soak import _records
 
@@ -13,7 +13,7 @@
 
 def make_reply(**changes):
     """Return the whole answer of i-1 to request r1."""
-    reply = stage.Reply(
+    reply = testing.CallerResponse(
         status=200,
         request_id="r1",
         instance="i-1",
--- a/wigeonrouter/soak/_fleet.py
+++ b/wigeonrouter/soak/_fleet.py
@@ -12,7 +12,7 @@
 
 from wigeonrouter import core
 from wigeonrouter import topology
-from wigeonrouter.platform import stage
+from wigeonrouter.platform import testing
 from wigeonrouter.soak import _checks
 from wigeonrouter.soak import _links
 from wigeonrouter.soak import _records
@@ -80,7 +80,7 @@
         """Write the settings file."""
         path = self._directory / f"{self.name}.conf"
         path.write_text(
-            stage.render_settings(self.settings, bounds=_BOUNDS), "utf-8"
+            testing.render_settings(self.settings, bounds=_BOUNDS), "utf-8"
         )
         return path
 
--- a/wigeonrouter/soak/_scene.py
+++ b/wigeonrouter/soak/_scene.py
@@ -7,7 +7,7 @@
 from wigeonrouter import core
 from wigeonrouter import topology
 from wigeonrouter.platform import _emulator
-from wigeonrouter.platform import stage
+from wigeonrouter.platform import testing
 from wigeonrouter.soak import _links
 from wigeonrouter.soak import _records
 
@@ -125,7 +125,7 @@
 
     def register(self, backend):
         """Write a backend server's registration."""
-        self.store.put(stage.server_key(backend.instance), backend.entry())
+        self.store.put(testing.server_key(backend.instance), backend.entry())
 
     def drain(self, backend):
         """Let a backend server leave as planned."""
@@ -146,7 +146,7 @@
         if backend.gone:
             return
         backend.gone = True
-        self.store.remove(stage.server_key(backend.instance))
+        self.store.remove(testing.server_key(backend.instance))
         self._note(backend)
         backend.stop()
 
@@ -159,7 +159,7 @@
     def lapse(self):
         """Let all registrations go; they return after a while."""
         for backend in self.living:
-            self.store.remove(stage.server_key(backend.instance))
+            self.store.remove(testing.server_key(backend.instance))
 
     def register_again(self):
         """Write all registrations again, as after an outage."""
@@ -235,7 +235,8 @@
         for route in configuration.routes:
             self.seen.allow(route)
         self.store.put(
-            stage.CONFIGURATION_KEY, stage.render_configuration(configuration)
+            testing.CONFIGURATION_KEY,
+            testing.render_configuration(configuration),
         )
         self._acknowledged = time.monotonic()
 
