--- a/wigeonrouter/core/__init__.py
+++ b/wigeonrouter/core/__init__.py
@@ -1,4 +1,4 @@
-"""Immutable records, problem types and hashing that all packages share."""
+"""Immutable records, problem types and hashing shared by all packages."""
 
 from wigeonrouter.core import _hashing
 from wigeonrouter.core import _problems as problems  # noqa: F401
@@ -21,8 +21,8 @@
 Outcome = _records.Outcome
 Place = _records.Place
 ProblemType = problems.ProblemType
-Refusal = problems.Refusal
-Reload = _reload.Reload
+Problem = problems.Problem
+ReloadPlan = _reload.ReloadPlan
 RetrySettings = _records.RetrySettings
 RoutingSettings = _records.RoutingSettings
 ServerState = _records.ServerState
--- a/wigeonrouter/node/_balancer.py
+++ b/wigeonrouter/node/_balancer.py
@@ -37,11 +37,13 @@
         self._budget = budget
         self._rng = rng
         self._clock = clock
-        self._queue = placement.WaitingLine()
-        self._late_rate = placement.late_rate()
-        self._arrivals = placement.RecentRate(window=_ARRIVAL_WINDOW_S)
+        self._queue = placement.RequestQueue()
+        self._late_rate = placement.late_dispatch_rate()
+        self._arrivals = placement.SlidingWindowRate(window=_ARRIVAL_WINDOW_S)
         # Those that could still be in time when they came.
-        self._on_time_arrivals = placement.RecentRate(window=_ARRIVAL_WINDOW_S)
+        self._on_time_arrivals = placement.SlidingWindowRate(
+            window=_ARRIVAL_WINDOW_S
+        )
 
     @property
     def budget(self):
@@ -63,40 +65,42 @@
         self._server_pool.configure(health_path=health_path, known=known)
         self._wake_head()
 
-    def acquire(self, job, route):
+    def acquire(self, request, route):
         """Wait for a server.
 
         Args:
-          job: placement.Job.
+          job: placement.PendingRequest.
           route: topology.Route of the request.
         Returns:
           Grant, which must be released, or dialect.Refused.
         """
-        work = self._server_pool.times.work(route)
+        service_time = self._server_pool.times.service_time(route)
         now = self._clock()
-        self._arrivals.count(now)
-        if not placement.is_late(job, work=work, now=now):
-            self._on_time_arrivals.count(now)
-        rejection = self._check_admission(job, work, now)
+        self._arrivals.record(now)
+        if not placement.is_late(request, service_time=service_time, now=now):
+            self._on_time_arrivals.record(now)
+        rejection = self._check_admission(request, service_time, now)
         if rejection is not None:
             return rejection
-        poll = min(_MAX_POLL_S, max(_MIN_POLL_S, _POLL_SHARE * work))
+        poll = min(_MAX_POLL_S, max(_MIN_POLL_S, _POLL_SHARE * service_time))
         waiter = event.Event()
-        self._queue.add(waiter, job, work)
+        self._queue.add(waiter, request, service_time)
         try:
             while True:
                 grant = None
                 if waiter in self._queue.head(self._clock()):
-                    grant = self._try_grant(job, work)
+                    grant = self._try_grant(request, service_time)
                 if grant is not None:
                     now = self._clock()
-                    if placement.is_late(job, work=work, now=now):
-                        self._late_rate.count(now)
+                    if placement.is_late(
+                        request, service_time=service_time, now=now
+                    ):
+                        self._late_rate.record(now)
                     return grant
                 waiter.wait(timeout=poll)
                 waiter.clear()
                 rejection = self._check_still_admissible(
-                    job, work, self._clock()
+                    request, service_time, self._clock()
                 )
                 if rejection is not None:
                     return rejection
@@ -104,13 +108,15 @@
             self._queue.remove(waiter)
             self._wake_head()
 
-    def release(self, grant, *, route, ended, load, latency, late=False):
+    def release(
+        self, grant, *, route, outcome, load, latency, timed_out=False
+    ):
         """Give a slot back and learn from how the attempt ended.
 
         Args:
           grant: Grant.
           route: topology.Route of the request.
-          ended: placement.Ended.
+          ended: placement.AttemptOutcome.
           load: dialect.Load of the answer, or None.
           latency: seconds from sending to the end.
           late: whether it ended because no time was left.
@@ -118,10 +124,10 @@
         self._server_pool.release(
             grant,
             route=route,
-            ended=ended,
+            outcome=outcome,
             load=load,
             latency=latency,
-            late=late,
+            timed_out=timed_out,
         )
         self._wake_head()
 
@@ -129,45 +135,51 @@
         """Take over that another server answers at an address."""
         self._server_pool.misdirected(instance)
 
-    def _check_admission(self, job, work, now):
+    def _check_admission(self, request, service_time, now):
         if not self._server_pool.has_servers:
             return self._reject_no_server()
         wait = placement.expected_wait(
-            ahead=self._queue.ahead(job, work, now),
-            work=work,
-            slowness=self._server_pool.times.slowness,
+            ahead=self._queue.count_ahead(request, service_time, now),
+            service_time=service_time,
+            slowdown=self._server_pool.times.mean_slowdown,
             slots=self._server_pool.slots,
         )
-        if placement.turn_away(job, wait=wait, work=work, now=now):
-            return self._reject_overload(job, wait, work, now)
-        return self._check_late_admission(job, work, now)
+        if placement.should_reject(
+            request, wait=wait, service_time=service_time, now=now
+        ):
+            return self._reject_overload(request, wait, service_time, now)
+        return self._check_late_admission(request, service_time, now)
 
-    def _check_late_admission(self, job, work, now):
-        if not placement.is_late(job, work=work, now=now):
+    def _check_late_admission(self, request, service_time, now):
+        if not placement.is_late(request, service_time=service_time, now=now):
             return None
-        spare = placement.spare_rate(
+        spare = placement.spare_throughput(
             slots=self._server_pool.slots,
-            work=work,
-            slowness=self._server_pool.times.slowness,
-            arrivals=self._on_time_arrivals.per_second(now),
+            service_time=service_time,
+            slowdown=self._server_pool.times.mean_slowdown,
+            arrival_rate=self._on_time_arrivals.per_second(now),
         )
-        wait = placement.late_wait(
+        wait = placement.expected_late_wait(
             ahead=self._queue.count_late(now),
             rate=max(spare, self._late_rate.per_second(now)),
         )
-        if placement.turn_late_away(job, wait=wait, now=now):
-            return self._reject_overload(job, wait, work, now)
+        if placement.should_reject_late(request, wait=wait, now=now):
+            return self._reject_overload(request, wait, service_time, now)
         return None
 
-    def _check_still_admissible(self, job, work, now):
+    def _check_still_admissible(self, request, service_time, now):
         """Return the refusal of a request that waited in vain, if it did."""
         if not self._server_pool.has_servers:
             return self._reject_no_server()
-        if placement.turn_away(job, wait=0.0, work=work, now=now):
-            return self._reject_overload(job, work, work, now)
-        if now - job.target + work < 2 * _MAX_POLL_S:
+        if placement.should_reject(
+            request, wait=0.0, service_time=service_time, now=now
+        ):
+            return self._reject_overload(
+                request, service_time, service_time, now
+            )
+        if now - request.target_time + service_time < 2 * _MAX_POLL_S:
             # It has just become late; from now on it waits with the others.
-            return self._check_late_admission(job, work, now)
+            return self._check_late_admission(request, service_time, now)
         return None
 
     def _reject_no_server(self):
@@ -176,19 +188,20 @@
             retry_after=_NO_SERVER_RETRY_S * self._rng.uniform(0.5, 1.5),
         )
 
-    def _reject_overload(self, job, wait, work, now):
+    def _reject_overload(self, request, wait, service_time, now):
         return messages.Rejection(
             problem=core.problems.DEADLINE_TOO_SHORT,
             retry_after=placement.retry_after(wait=wait, rng=self._rng),
             detail=(
                 f"expected wait {wait * 1000:.0f} ms, work"
-                f" {work * 1000:.0f} ms, left {(job.give_up - now) * 1000:.0f}"
-                f" ms, {(job.target - now) * 1000:.0f} ms to the target,"
+                f" {service_time * 1000:.0f} ms,"
+                f" left {(request.deadline - now) * 1000:.0f} ms,"
+                f" {(request.target_time - now) * 1000:.0f} ms to the target,"
                 f" {len(self._queue)} waiting"
             ),
         )
 
-    def _local_pressure(self):
+    def _local_utilization(self):
         """Return the share of the slots in use, 1 where requests wait.
 
         Only waiting requests that can still be in time count.
@@ -197,33 +210,35 @@
             return 1.0
         return self._server_pool.utilization
 
-    def _try_grant(self, job, work):
+    def _try_grant(self, request, service_time):
         """Look for a server once; may ask servers for their load."""
         max_probes = placement.probe_count(
             self._arrivals.per_second(self._clock())
         )
-        pick = self._probe_and_choose(job, work, max_probes, remote=False)
-        if pick.view is not None and not pick.wait:
-            return self._server_pool.grant(pick, work)
-        remote = self._choose_remote(job, work)
+        pick = self._probe_and_choose(
+            request, service_time, max_probes, remote=False
+        )
+        if pick.view is not None and not pick.should_wait:
+            return self._server_pool.grant(pick, service_time)
+        remote = self._choose_remote(request, service_time)
         now = self._clock()
         if remote.view is not None:
-            waiting = placement.worth_of_waiting(
-                job=job,
-                work=work,
-                usual=self._server_pool.times.slowness,
+            waiting = placement.utility_of_waiting(
+                request=request,
+                service_time=service_time,
+                mean_slowdown=self._server_pool.times.mean_slowdown,
                 now=now,
-                ahead=self._queue.ahead(job, work, now) - 1,
+                ahead=self._queue.count_ahead(request, service_time, now) - 1,
                 slots=self._server_pool.slots,
             )
-            if remote.worth > max(pick.worth, waiting):
-                return self._server_pool.grant(remote, work)
-        late = placement.is_late(job, work=work, now=now)
+            if remote.expected_utility > max(pick.expected_utility, waiting):
+                return self._server_pool.grant(remote, service_time)
+        late = placement.is_late(request, service_time=service_time, now=now)
         if pick.view is not None and late:
-            return self._server_pool.grant(pick, work)
+            return self._server_pool.grant(pick, service_time)
         return None
 
-    def _choose_remote(self, job, work):
+    def _choose_remote(self, request, service_time):
         """Look for a server in another region.
 
         Asking there takes long, so that reports are kept fresh by a task
@@ -233,37 +248,37 @@
             return placement.Pick(view=None)
         if not self._server_pool.local:
             return self._probe_and_choose(
-                job, work, _server_pool.REMOTE_PROBES, remote=True
+                request, service_time, _server_pool.REMOTE_PROBES, remote=True
             )
         return placement.choose(
             self._server_pool.remote_with_fresh_reports(),
-            job=job,
-            work=work,
-            usual=self._server_pool.times.slowness,
+            request=request,
+            service_time=service_time,
+            mean_slowdown=self._server_pool.times.mean_slowdown,
             now=self._clock(),
-            pressure=1.0,
+            utilization=1.0,
         )
 
-    def _probe_and_choose(self, job, work, max_probes, *, remote):
+    def _probe_and_choose(self, request, service_time, max_probes, *, remote):
         """Ask some servers, and choose among all near or all far ones."""
         servers = self._server_pool
         candidates = placement.probe_candidates(
             servers.remote if remote else servers.local,
-            job=job,
-            work=work,
-            usual=servers.times.slowness,
+            request=request,
+            service_time=service_time,
+            mean_slowdown=servers.times.mean_slowdown,
             now=self._clock(),
-            most=max_probes,
+            max_servers=max_probes,
         )
         if candidates:
             servers.probe(candidates, remote=remote)
         return placement.choose(
             servers.remote if remote else servers.local,
-            job=job,
-            work=work,
-            usual=servers.times.slowness,
+            request=request,
+            service_time=service_time,
+            mean_slowdown=servers.times.mean_slowdown,
             now=self._clock(),
-            pressure=self._local_pressure(),
+            utilization=self._local_utilization(),
         )
 
     def _wake_head(self):
--- a/wigeonrouter/node/_node.py
+++ b/wigeonrouter/node/_node.py
@@ -206,8 +206,8 @@
         """
         plan = core.plan_reload(
             current=self._settings,
-            wanted=settings,
-            changeable=_RELOADABLE_SETTINGS,
+            requested=settings,
+            reloadable=_RELOADABLE_SETTINGS,
         )
         self._settings = plan.settings
         self._region_member.reload(plan.settings)
@@ -218,7 +218,9 @@
                 window=plan.settings.bounds.retry_window,
             )
         self._events.notice(
-            "settings-reloaded", changed=plan.changed, kept=plan.kept
+            "settings-reloaded",
+            changed=plan.changed,
+            kept=plan.restart_required,
         )
 
     def _supervise(self, name, function):
--- a/wigeonrouter/node/_proxy.py
+++ b/wigeonrouter/node/_proxy.py
@@ -32,7 +32,7 @@
     request_id: str
     route: topology.Route
     service: str
-    job: placement.Job
+    pending: placement.PendingRequest
     attempts: int = 0
     connect_failures: int = 0
     may_have_run: bool = False
@@ -76,7 +76,7 @@
         found = {}
         for route, usual in self._usual_waits.items():
             stored = self._cluster_state.usual_waits.get(route)
-            learned = usual.learned
+            learned = usual.learned_timeout
             if learned is not None and (
                 stored is None
                 or abs(learned - stored) > _MIN_WAIT_CHANGE_SHARE * stored
@@ -100,10 +100,10 @@
         Returns:
           HttpResponse for the caller.
         """
-        incoming = self._codec.read_request(request)
-        context = self._route(request, incoming, arrived)
+        metadata = self._codec.read_request(request)
+        context = self._route(request, metadata, arrived)
         if isinstance(context, messages.Rejection):
-            return self._reject(context, incoming.request_id, arrived, None)
+            return self._reject(context, metadata.request_id, arrived, None)
         balancer = self._balancer_for(context.service)
         try:
             balancer.budget.on_request(self._clock())
@@ -129,7 +129,7 @@
         )
         return result
 
-    def _route(self, request, incoming, arrived):
+    def _route(self, request, metadata, arrived):
         if self._cluster_state.configuration is None:
             self._cluster_state.wait_configured(_STARTUP_WAIT_S)
         if self._cluster_state.configuration is None:
@@ -148,37 +148,37 @@
             )
         return _RequestContext(
             request=request,
-            request_id=incoming.request_id,
+            request_id=metadata.request_id,
             route=route,
             service=self._splitter.choose(route),
-            job=self._make_job(route, incoming, arrived),
+            pending=self._make_pending(route, metadata, arrived),
         )
 
-    def _make_job(self, route, incoming, arrived):
-        remaining = incoming.remaining
+    def _make_pending(self, route, metadata, arrived):
+        remaining = metadata.remaining
         if remaining is None:
             remaining = route.timeout
         usual = self._usual_waits.get(route.name)
         if usual is None:
-            usual = placement.UsualWait(
-                kept=self._cluster_state.usual_waits.get(route.name)
+            usual = placement.CallerTimeoutEstimate(
+                stored=self._cluster_state.usual_waits.get(route.name)
             )
             self._usual_waits[route.name] = usual
-        elapsed = usual.spent(remaining)
-        return placement.Job(
+        elapsed = usual.estimate_age(remaining)
+        return placement.PendingRequest(
             priority=route.priority,
             idempotent=route.idempotent,
             arrived=arrived,
-            target=arrived
+            target_time=arrived
             + route.target_latency
             - elapsed
             - _RESPONSE_TRANSIT_S,
-            give_up=arrived + min(remaining, route.timeout),
+            deadline=arrived + min(remaining, route.timeout),
         )
 
     def _run(self, context, balancer):
         while True:
-            grant = balancer.acquire(context.job, context.route)
+            grant = balancer.acquire(context.pending, context.route)
             if isinstance(grant, messages.Rejection):
                 if context.may_have_run:
                     return messages.Rejection(
@@ -199,35 +199,35 @@
                 request_id=context.request_id,
                 registration=grant.registration,
                 idempotent=context.route.idempotent,
-                response_deadline=context.job.give_up,
+                response_deadline=context.pending.deadline,
             )
             return attempt
         finally:
-            ended = placement.Ended.CANCELLED
+            outcome = placement.AttemptOutcome.CANCELLED
             load = None
             if attempt is None:
                 # Stopped or failed on the way; the request may be there.
                 context.may_have_run = True
             else:
-                ended = attempt.ended
+                outcome = attempt.outcome
                 load = attempt.metadata.load if attempt.metadata else None
             latency = self._clock() - started
             balancer.release(
                 grant,
                 route=context.route,
-                ended=ended,
+                outcome=outcome,
                 load=load,
                 latency=latency,
-                late=attempt is not None and attempt.timed_out,
+                timed_out=attempt is not None and attempt.timed_out,
             )
-            self._log_attempt(context, grant, attempt, ended, latency)
+            self._log_attempt(context, grant, attempt, outcome, latency)
 
     def _handle_result(self, context, balancer, grant, attempt):
         """Return the final result after an attempt, None to try again."""
         instance = grant.registration.instance
-        if attempt.ended is placement.Ended.UNREACHABLE:
+        if attempt.outcome is placement.AttemptOutcome.UNREACHABLE:
             context.connect_failures += 1
-            context.job = _exclude(context.job, instance)
+            context.pending = _exclude(context.pending, instance)
             if context.connect_failures <= _MAX_CONNECT_FAILURES:
                 return None
             return messages.Rejection(
@@ -240,10 +240,10 @@
             context.may_have_run = True
         if attempt.metadata is not None and attempt.metadata.misdirected:
             balancer.misdirected(instance)
-        if attempt.ended is placement.Ended.ANSWERED:
+        if attempt.outcome is placement.AttemptOutcome.SUCCEEDED:
             return attempt.response
         if self._may_retry(context, balancer, attempt):
-            context.job = _exclude(context.job, instance)
+            context.pending = _exclude(context.pending, instance)
             return None
         return _final_result(attempt, context)
 
@@ -253,7 +253,7 @@
         if context.attempts >= context.route.max_attempts:
             return False
         now = self._clock()
-        if now >= context.job.give_up:
+        if now >= context.pending.deadline:
             return False
         return balancer.budget.try_spend(now)
 
@@ -288,31 +288,31 @@
             service=context.service,
             version=self._cluster_state.configuration.version,
             attempts=context.attempts,
-            took_ms=_ms(now - context.job.arrived),
-            left_to_target_ms=_ms(context.job.target - now),
+            took_ms=_ms(now - context.pending.arrived),
+            left_to_target_ms=_ms(context.pending.target_time - now),
             **fields,
         )
 
-    def _log_attempt(self, context, grant, attempt, ended, latency):
+    def _log_attempt(self, context, grant, attempt, outcome, latency):
         self._events.event(
             "attempt",
             id=context.request_id,
             instance=grant.registration.instance,
-            waited_ms=_ms(grant.granted_at - context.job.arrived),
+            waited_ms=_ms(grant.granted_at - context.pending.arrived),
             load=round(grant.expected_load, 1),
-            slowness=round(grant.slowness, 2),
+            slowness=round(grant.expected_slowdown, 2),
             report_age_ms=(
                 None if grant.report_age is None else _ms(grant.report_age)
             ),
-            worth=round(grant.worth, 2),
-            ended=ended.value,
+            worth=round(grant.expected_utility, 2),
+            ended=outcome.value,
             latency_ms=_ms(latency),
             detail=attempt.detail if attempt else "",
         )
 
 
-def _exclude(job, instance):
-    return dataclasses.replace(job, excluded=job.excluded | {instance})
+def _exclude(pending, instance):
+    return dataclasses.replace(pending, excluded=pending.excluded | {instance})
 
 
 def _final_result(attempt, context):
--- a/wigeonrouter/node/_sender.py
+++ b/wigeonrouter/node/_sender.py
@@ -28,7 +28,7 @@
     """How an attempt ended.
 
     Attributes:
-      ended: placement.Ended.
+      ended: placement.AttemptOutcome.
       response: the server's whole HttpResponse, None where there is none.
       answer: dialect.ServerAnswer of it.
       may_have_run: whether the server may have begun to work on it.
@@ -36,7 +36,7 @@
       detail: what was seen, for the log.
     """
 
-    ended: placement.Ended
+    outcome: placement.AttemptOutcome
     may_have_run: bool
     response: http1.HttpResponse | None = None
     metadata: messages.ResponseMetadata | None = None
@@ -86,7 +86,7 @@
             )
         except http1.ConnectFailed as error:
             return Attempt(
-                ended=placement.Ended.UNREACHABLE,
+                outcome=placement.AttemptOutcome.UNREACHABLE,
                 may_have_run=False,
                 detail=str(error),
             )
@@ -117,7 +117,7 @@
         remaining = response_deadline - self._clock()
         if remaining <= 0:
             return Attempt(
-                ended=placement.Ended.CANCELLED,
+                outcome=placement.AttemptOutcome.CANCELLED,
                 may_have_run=False,
                 detail="no time left",
             )
@@ -132,13 +132,13 @@
                 return self._read(request, request_id)
         except http1.NotSent as error:
             return Attempt(
-                ended=placement.Ended.UNREACHABLE,
+                outcome=placement.AttemptOutcome.UNREACHABLE,
                 may_have_run=False,
                 detail=str(error),
             )
         except (OSError, http1.MalformedMessage) as error:
             return Attempt(
-                ended=placement.Ended.LOST,
+                outcome=placement.AttemptOutcome.RESPONSE_LOST,
                 may_have_run=True,
                 timed_out=isinstance(error, TimeoutError),
                 detail=f"{type(error).__name__}: {error}",
@@ -165,7 +165,7 @@
                 )
         self.reusable = reader.reusable and not stray
         return Attempt(
-            ended=_classify(response, metadata),
+            outcome=_classify(response, metadata),
             may_have_run=not metadata.not_executed,
             timed_out=response.status == _GATEWAY_TIMEOUT_STATUS,
             response=response,
@@ -175,7 +175,7 @@
 
 def _classify(response, metadata):
     if metadata.not_executed:
-        return placement.Ended.REFUSED
+        return placement.AttemptOutcome.REJECTED
     if response.status >= 500:
-        return placement.Ended.FAILED
-    return placement.Ended.ANSWERED
+        return placement.AttemptOutcome.FAILED
+    return placement.AttemptOutcome.SUCCEEDED
--- a/wigeonrouter/node/_server_pool.py
+++ b/wigeonrouter/node/_server_pool.py
@@ -51,10 +51,10 @@
 
     registration: topology.Registration
     granted_at: float
-    slowness: float
-    near_full: bool
+    expected_slowdown: float
+    nearly_full: bool
     report_age: float | None
-    worth: float
+    expected_utility: float
     expected_load: float
     round_trip: float
     expected_latency: float
@@ -78,13 +78,13 @@
         self._health_path = ""
         self._registrations = {}
         self._views = {}
-        self._times = placement.WorkTimes()
+        self._times = placement.ServiceTimes()
         self._remote_poll_task = None
         self._remote_poll_until = float("-inf")
 
     @property
     def times(self):
-        """placement.WorkTimes of the service."""
+        """placement.ServiceTimes of the service."""
         return self._times
 
     @property
@@ -103,7 +103,7 @@
         return [
             view
             for view in self._views.values()
-            if view.tier is not placement.Tier.REMOTE
+            if view.locality is not placement.Locality.REMOTE
         ]
 
     @property
@@ -112,7 +112,7 @@
         return [
             view
             for view in self._views.values()
-            if view.tier is placement.Tier.REMOTE
+            if view.locality is placement.Locality.REMOTE
         ]
 
     @property
@@ -151,7 +151,7 @@
             views[instance] = dataclasses.replace(
                 view,
                 slots=registration.slots,
-                warm_until=record.learned + registration.warm_up,
+                slow_start_until=record.learned + registration.warm_up,
             )
         self._registrations, self._views = registrations, views
 
@@ -189,7 +189,7 @@
             deliver=self._on_probe,
         )
 
-    def grant(self, pick, work):
+    def grant(self, pick, service_time):
         """Count a request at the picked server.
 
         Returns:
@@ -203,18 +203,21 @@
         grant = Grant(
             registration=self._registrations[view.instance],
             granted_at=now,
-            slowness=placement.expected_slowness(
-                view, now, self._times.slowness
+            expected_slowdown=placement.expected_slowdown(
+                view, now, self._times.mean_slowdown
             ),
-            near_full=placement.is_full(load, view.slots),
+            nearly_full=placement.is_nearly_full(load, view.slots),
             report_age=(
                 None if view.report is None else now - view.report.received
             ),
-            worth=pick.worth,
+            expected_utility=pick.expected_utility,
             expected_load=load,
             round_trip=view.round_trip,
-            expected_latency=placement.expected_seconds(
-                view, work=work, usual=self._times.slowness, now=now
+            expected_latency=placement.expected_latency(
+                view,
+                service_time=service_time,
+                mean_slowdown=self._times.mean_slowdown,
+                now=now,
             ),
         )
         self._views[view.instance] = dataclasses.replace(
@@ -222,49 +225,54 @@
         )
         return grant
 
-    def release(self, grant, *, route, ended, load, latency, late):
+    def release(self, grant, *, route, outcome, load, latency, timed_out):
         """Take a request off a server; see Balancer.release()."""
         instance = grant.registration.instance
         view = self._views.get(instance)
-        if late and latency < _EARLY_TIMEOUT_FACTOR * grant.expected_latency:
-            ended = placement.Ended.LATE
+        if (
+            timed_out
+            and latency < _EARLY_TIMEOUT_FACTOR * grant.expected_latency
+        ):
+            outcome = placement.AttemptOutcome.TIMED_OUT
         if view is not None:
-            self._update_view(view, ended, load)
-        if ended is placement.Ended.ANSWERED:
-            self._times.learn_work(
+            self._update_view(view, outcome, load)
+        if outcome is placement.AttemptOutcome.SUCCEEDED:
+            self._times.record_service_time(
                 route,
-                placement.normal_work(
+                placement.undisturbed_service_time(
                     latency=latency,
                     round_trip=grant.round_trip,
-                    slowness=grant.slowness,
-                    full=grant.near_full,
+                    slowdown=grant.expected_slowdown,
+                    nearly_full=grant.nearly_full,
                 ),
             )
 
-    def _update_view(self, view, ended, load):
+    def _update_view(self, view, outcome, load):
         now = self._clock()
         if load is not None:
             # The answered request is still among those reported.
             report = self._make_report(load, view, now)
             view = dataclasses.replace(view, report=report)
         view = dataclasses.replace(view, in_flight=max(0, view.in_flight - 1))
-        if load is None and ended is placement.Ended.REFUSED:
+        if load is None and outcome is placement.AttemptOutcome.REJECTED:
             view = dataclasses.replace(
                 view, report=_saturated_report(view, now)
             )
-        self._replace_view(placement.after_answer(view, ended=ended, now=now))
+        self._replace_view(
+            placement.after_attempt(view, outcome=outcome, now=now)
+        )
 
     def _replace_view(self, view):
         """Take over a view, and note where it changes what gets work."""
         before = self._views[view.instance]
         self._views[view.instance] = view
-        if view.retry_at > before.retry_at:
+        if view.ejected_until > before.ejected_until:
             self._events.event(
                 "server-paused",
                 instance=view.instance,
-                failures=view.failures,
-                silent=view.silent,
-                for_ms=round((view.retry_at - self._clock()) * 1000),
+                failures=view.consecutive_failures,
+                silent=view.consecutive_no_response,
+                for_ms=round((view.ejected_until - self._clock()) * 1000),
             )
         elif _has_recent_failures(before) and not _has_recent_failures(view):
             self._events.event("server-back", instance=view.instance)
@@ -275,15 +283,15 @@
     def _new_view(self, registration):
         place = registration.place
         if place.failure_domain == self._place.failure_domain:
-            tier = placement.Tier.DOMAIN
+            locality = placement.Locality.DOMAIN
         elif place.region == self._place.region:
-            tier = placement.Tier.REGION
+            locality = placement.Locality.REGION
         else:
-            tier = placement.Tier.REMOTE
-        remote = tier is placement.Tier.REMOTE
+            locality = placement.Locality.REMOTE
+        remote = locality is placement.Locality.REMOTE
         return placement.ServerView(
             instance=registration.instance,
-            tier=tier,
+            locality=locality,
             slots=registration.slots,
             round_trip=_REMOTE_ROUND_TRIP_S if remote else _LOCAL_ROUND_TRIP_S,
         )
@@ -304,7 +312,7 @@
             return
         now = self._clock()
         if result is None:
-            self._replace_view(placement.after_silence(view, now=now))
+            self._replace_view(placement.after_no_response(view, now=now))
             return
         if not result.instance_matches:
             self.misdirected(instance)
@@ -323,19 +331,19 @@
         )
 
     def _make_report(self, load, view, now):
-        self._times.learn_slowness(load.slowness)
+        self._times.record_slowdown(load.slowdown)
         return placement.LoadReport(
             running=load.running,
             queued=load.queued,
             slots=load.slots,
-            slowness=load.slowness,
+            slowdown=load.slowdown,
             received=now,
-            own=view.in_flight,
+            own_in_flight=view.in_flight,
         )
 
 
 def _has_recent_failures(view):
-    return view.failures > 0 or view.silent > 1
+    return view.consecutive_failures > 0 or view.consecutive_no_response > 1
 
 
 def _saturated_report(view, now):
@@ -344,7 +352,7 @@
         running=view.slots,
         queued=1,
         slots=view.slots,
-        slowness=view.report.slowness if view.report else 1.0,
+        slowdown=view.report.slowdown if view.report else 1.0,
         received=now,
-        own=view.in_flight,
+        own_in_flight=view.in_flight,
     )
--- a/wigeonrouter/node/messages.py
+++ b/wigeonrouter/node/messages.py
@@ -28,7 +28,7 @@
     running: int
     queued: int
     slots: int
-    slowness: float
+    slowdown: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
--- a/wigeonrouter/platform/_http.py
+++ b/wigeonrouter/platform/_http.py
@@ -135,12 +135,12 @@
         figures = [float(part) for part in parts[:4]]
     except ValueError:
         return None
-    slowness = 1.0
+    slowdown = 1.0
     if len(figures) > 3 and figures[3] > 0:
-        slowness = figures[3] / _USUAL_SLOWNESS
+        slowdown = figures[3] / _USUAL_SLOWNESS
     return messages.ServerLoad(
         running=int(figures[0]),
         queued=int(figures[1]),
         slots=max(1, int(figures[2])),
-        slowness=slowness,
+        slowdown=slowdown,
     )
