--- a/wigeonrouter/node/_node.py
+++ b/wigeonrouter/node/_node.py
@@ -252,7 +252,7 @@
                 (name, balancer.queue_length, balancer.in_flight)
                 for name, balancer in sorted(self._balancers.items())
             ),
-            arriving=self._callers.requests_in_progress,
+            unanswered_requests=self._callers.requests_in_progress,
             events=dict(self._events.counts),
             dropped=self._events.total_dropped,
         )
@@ -342,5 +342,5 @@
         }
         for instance, address in self._addresses.items():
             if addresses.get(instance) != address:
-                self._pool.forget(address)
+                self._pool.close_idle_to(address)
         self._addresses = addresses
--- a/wigeonrouter/node/_proxy.py
+++ b/wigeonrouter/node/_proxy.py
@@ -108,7 +108,7 @@
         try:
             balancer.budget.on_request(self._clock())
             result = self._run(context, balancer)
-        except http1.CallerGone:
+        except http1.CallerDisconnected:
             self._log_event(context, "caller-gone")
             self._metrics.record_caller_gone(
                 service=context.service,
