--- a/wigeonrouter/dispatch/_dispatcher.py
+++ b/wigeonrouter/dispatch/_dispatcher.py
@@ -1,4 +1,7 @@
-"""One dispatcher per service: grants slots and keeps waiting requests."""
+"""Assigns slots of the backend servers of one service to its requests.
+
+Requests that find no free slot are queued, fairly between tenants.
+"""
 
 import dataclasses
 import time
@@ -12,20 +15,32 @@
 from wigeonrouter import selection
 from wigeonrouter.dispatch import _server_table
 
-# Foreign load decays without any event of ours, so a queue is looked at
-# again after this time even when nothing was released.
-_REPUMP_INTERVAL_S = 0.005
+# The expected load of other daemons decays without an event in this process,
+# so a queue is checked again after this time even if no slot was released.
+_REDISPATCH_INTERVAL_S = 0.005
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Ticket:
-    """Stands for a request that waits in the queue."""
+class WaitingRequest:
+    """A queued request; the argument of Dispatcher.cancel_waiting()."""
 
-    handle: limits.Handle
+    entry: limits.QueueEntry
 
 
 class Dispatcher:
-    """Owns the backend views and the queue of one service."""
+    """Owns the backend views and the request queue of one service.
+
+    Args:
+      service: core.EffectiveService.
+      place: core.Place of this daemon.
+      rng: random.Random.
+      clock: returns seconds on the monotonic clock.
+      call_later: calls a function after some seconds.
+      slot_share: index of this daemon among those that divide the slots, and
+        their number.
+      announce: called with the address of a server and whether it is draining,
+        when that has changed.
+    """
 
     def __init__(
         self,
@@ -35,21 +50,21 @@
         rng,
         clock=time.monotonic,
         call_later=gevent.spawn_later,
-        share=(0, 1),
+        slot_share=(0, 1),
         announce=lambda address, leaving: None,
     ):
         self._place = place
         self._rng = rng
         self._clock = clock
         self._call_later = call_later
-        self._share = share
+        self._slot_share = slot_share
         self._announce = announce
         self._sequence = 0
-        self._memory = None
+        self._policy_state = None
         self._servers = _server_table.ServerTable(place=place)
-        self._foreign_slots = {}
-        self._hold = limits.HoldTime()
-        self._spilling = False
+        self._remote_slots = {}
+        self._hold_time = limits.HoldTime()
+        self._spilling_over = False
         self._timer = None
         self._service = service
         self._queue = limits.FairQueue(weights=service.limits.tenant_weights)
@@ -68,32 +83,32 @@
 
     @property
     def queue_length(self):
-        """Number of waiting requests."""
+        """Number of queued requests."""
         return len(self._queue)
 
     def in_flight(self, name):
-        """Return this daemon's requests at a server, 0 if unknown."""
+        """Return this daemon's requests at a server, 0 if it is unknown."""
         view = self._servers.find(name)
         return view.in_flight if view else 0
 
     def reconfigure(self, service):
-        """Take over new settings; views of remaining servers are kept."""
+        """Apply new settings; the views of servers that remain are kept."""
         self._service = service
         self._queue.set_weights(service.limits.tenant_weights)
         self._policy = selection.find_policy(service.routing.policy)
-        self._memory = None
+        self._policy_state = None
         self._servers.configure(servers=service.servers, now=self._clock())
-        self._foreign_slots = limits.count_foreign_slots(
+        self._remote_slots = limits.count_remote_slots(
             servers=service.servers, region=self._place.region
         )
-        self._pump()
+        self._dispatch_queued()
 
     def set_draining(self, addresses):
-        """Take over the addresses that are known to be leaving."""
+        """Apply the set of addresses of draining servers."""
         self._servers.set_draining(
             addresses=frozenset(addresses), now=self._clock()
         )
-        self._pump()
+        self._dispatch_queued()
 
     def acquire(self, request):
         """Wait for a slot.
@@ -101,134 +116,145 @@
         Args:
           request: core.DispatchRequest.
         Returns:
-          core.Grant, which must be released, or core.Refusal.
+          core.Grant, which must be released, or core.Problem.
         """
         now = self._clock()
-        result = self._answer_at_once(request, now)
+        result = self._try_immediately(request, now)
         if result is not None:
             return result
         waiter = event.AsyncResult()
         result = self._enqueue(request, now, waiter.set)
-        if not isinstance(result, Ticket):
+        if not isinstance(result, WaitingRequest):
             return result
         try:
             return waiter.get(timeout=request.deadline - self._clock())
         except gevent.Timeout:
-            # set() only schedules the wake-up, so a grant may be there
-            # already when the timeout comes first.
+            # set() only schedules the wake-up of the waiter, so the grant may
+            # have been delivered before a timeout that fires first.
             if waiter.ready():
                 return waiter.value
-            return core.Refusal(problem=core.problems.DEADLINE_PASSED)
+            return core.Problem(problem=core.problems.DEADLINE_PASSED)
         except BaseException:
             if waiter.ready() and isinstance(waiter.value, core.Grant):
-                self._return_unused(waiter.value)
+                self._release_unused(waiter.value)
             raise
         finally:
-            self.withdraw(result)
+            self.cancel_waiting(result)
 
     def submit(self, request, deliver):
-        """Ask for a slot without waiting.
+        """Request a slot without blocking.
 
         Args:
           request: core.DispatchRequest.
-          deliver: called once with a core.Grant or core.Refusal where the
-            request has to wait, unless withdraw() comes first.
+          deliver: called once with a core.Grant or core.Problem if the request
+            has to wait, unless cancel_waiting() comes first.
         Returns:
-          core.Grant, core.Refusal, or the Ticket of a waiting request.
+          core.Grant, core.Problem, or a WaitingRequest if it was queued.
         """
         now = self._clock()
-        result = self._answer_at_once(request, now)
+        result = self._try_immediately(request, now)
         if result is not None:
             return result
         return self._enqueue(request, now, deliver)
 
-    def _answer_at_once(self, request, now):
+    def _try_immediately(self, request, now):
         if request.deadline <= now:
-            return core.Refusal(problem=core.problems.DEADLINE_PASSED)
+            return core.Problem(problem=core.problems.DEADLINE_PASSED)
         if not self._servers.eligible:
-            return core.Refusal(problem=core.problems.NO_SERVER)
+            return core.Problem(problem=core.problems.NO_SERVER)
         if self._queue:
             return None
         return self._choose(request, now, self._candidates())
 
     def _enqueue(self, request, now, deliver):
         wait = limits.expected_wait(
-            ahead=self._queue.ahead(tenant=request.tenant, key=now),
+            ahead=self._queue.count_ahead(tenant=request.tenant, key=now),
             slots=self._servers.local_slots,
-            hold=self._hold,
+            hold_time=self._hold_time,
         )
-        if self._spills(request, wait):
-            grant = self._choose(request, now, self._foreign_candidates())
+        if self._should_spill_over(request, wait):
+            grant = self._choose(request, now, self._remote_candidates())
             if grant is not None:
                 return grant
-        if not limits.can_finish(
-            remaining=request.deadline - now, wait=wait, hold=self._hold
+        if not limits.can_meet_deadline(
+            remaining=request.deadline - now,
+            wait=wait,
+            hold_time=self._hold_time,
         ):
-            return core.Refusal(problem=core.problems.DEADLINE_TOO_SHORT)
+            return core.Problem(problem=core.problems.DEADLINE_TOO_SHORT)
         if len(self._queue) >= self._service.limits.max_queue:
-            displaced = self._queue.find_displaced(request.tenant)
-            if displaced is None:
-                return core.Refusal(problem=core.problems.QUEUE_FULL)
-            self._refuse_waiting(displaced, core.problems.QUEUE_FULL)
-        handle = self._queue.push(
+            evicted = self._queue.find_evictable(request.tenant)
+            if evicted is None:
+                return core.Problem(problem=core.problems.QUEUE_FULL)
+            self._reject_queued(evicted, core.problems.QUEUE_FULL)
+        entry = self._queue.push(
             tenant=request.tenant,
             key=now,
             item=(request, deliver),
         )
-        self._schedule_pump()
-        return Ticket(handle=handle)
+        self._schedule_dispatch()
+        return WaitingRequest(entry=entry)
 
-    def withdraw(self, ticket):
-        """Take a waiting request out of the queue; no effect afterwards."""
-        self._queue.remove(ticket.handle)
+    def cancel_waiting(self, waiting):
+        """Remove a request from the queue; no effect if it is not queued."""
+        self._queue.remove(waiting.entry)
 
     def release(self, grant, attempt):
-        """Give a slot back and learn from how the attempt ended."""
+        """Release a slot and update the server from the result of the attempt.
+
+        Args:
+          grant: core.Grant.
+          attempt: core.AttemptResult.
+        """
         if grant.charged:
-            self._queue.settle(grant.tenant, attempt.latency - grant.charged)
+            self._queue.adjust_charge(
+                grant.tenant, attempt.latency - grant.charged
+            )
         view = self._servers.find(grant.server.name)
         if view is None or view.server.address != grant.server.address:
-            self._pump()
+            self._dispatch_queued()
             return
-        before = view
+        previous = view
         view = core.evolve_view(view, in_flight=max(0, view.in_flight - 1))
         view = health.after_attempt(view=view, attempt=attempt)
         view = health.next_state(
             view=view,
             attempt=attempt,
-            group=self._servers.group,
+            group=self._servers.all_views,
             settings=self._service.health,
             now=self._clock(),
         )
         local = view.server.place.region == self._place.region
         answered = attempt.outcome is core.Outcome.OK
         if local and answered and not attempt.cancelled:
-            self._hold = limits.learn_hold_time(self._hold, attempt.latency)
-            limit = limits.next_limit(
+            self._hold_time = limits.update_hold_time(
+                self._hold_time, attempt.latency
+            )
+            limit = limits.next_concurrency_limit(
                 limit=view.limit,
                 slots=view.server.slots,
                 latency=view.latency,
-                typical=self._hold.mean,
+                mean_latency=self._hold_time.mean,
                 queued=len(self._queue) > 0,
             )
             if limit != view.limit:
                 view = core.evolve_view(view, limit=limit)
-        self._servers.put(view)
-        self._announce_change(before, view)
-        self._pump()
+        self._servers.update(view)
+        self._announce_change(previous, view)
+        self._dispatch_queued()
 
     def on_probe(self, *, name, probe):
-        """Take over a health.ProbeResult."""
+        """Apply a health.ProbeResult to the view of a server."""
         view = self._servers.find(name)
         if view is None:
             return
         after = health.after_probe(view=view, probe=probe, now=self._clock())
-        self._servers.put(after)
+        self._servers.update(after)
         self._announce_change(view, after)
-        self._pump()
+        self._dispatch_queued()
 
     def advance(self):
-        """Let the states of servers follow the time."""
+        """Apply the state changes of servers that depend on time alone."""
         now = self._clock()
         changed = False
         for view in self._servers.views:
@@ -236,17 +262,17 @@
                 view=view, settings=self._service.health, now=now
             )
             if advanced is not view:
-                self._servers.put(advanced)
+                self._servers.update(advanced)
                 changed = True
         if changed:
-            self._pump()
+            self._dispatch_queued()
 
-    def _announce_change(self, before, after):
+    def _announce_change(self, previous, after):
         leaving = after.state is core.ServerState.DRAINING
-        if leaving != (before.state is core.ServerState.DRAINING):
+        if leaving != (previous.state is core.ServerState.DRAINING):
             self._announce(after.server.address, leaving)
 
-    def _return_unused(self, grant):
+    def _release_unused(self, grant):
         self.release(
             grant,
             core.AttemptResult(
@@ -254,79 +280,84 @@
             ),
         )
 
-    def _pump(self):
+    def _dispatch_queued(self):
         now = self._clock()
         while True:
-            handle = self._queue.peek()
-            if handle is None:
+            entry = self._queue.peek()
+            if entry is None:
                 return
-            request, deliver = handle.item
-            if not limits.can_finish(
-                remaining=request.deadline - now, wait=0.0, hold=self._hold
+            request, deliver = entry.item
+            if not limits.can_meet_deadline(
+                remaining=request.deadline - now,
+                wait=0.0,
+                hold_time=self._hold_time,
             ):
-                self._refuse_waiting(handle, core.problems.DEADLINE_TOO_SHORT)
+                self._reject_queued(entry, core.problems.DEADLINE_TOO_SHORT)
                 continue
-            # Only what has waited for long is sent ahead to a full server;
-            # the request of a quiet tenant soon gets a free slot.
-            long_wait = now - handle.rank[0] >= self._hold.mean
+            # Only requests that have waited longer than the mean hold time are
+            # sent ahead to a full server; a request of a tenant with little
+            # traffic gets a free slot soon in any case.
+            waited_long = now - entry.sort_key[0] >= self._hold_time.mean
             grant = self._choose(
                 request,
                 now,
                 self._candidates(),
-                waiting=len(self._queue) if long_wait else 0,
+                queue_length=len(self._queue) if waited_long else 0,
             )
             if grant is None:
-                self._schedule_pump()
+                self._schedule_dispatch()
                 return
             grant = dataclasses.replace(
-                grant, tenant=request.tenant, charged=self._hold.mean
+                grant, tenant=request.tenant, charged=self._hold_time.mean
             )
-            self._queue.take(handle, cost=grant.charged)
+            self._queue.dequeue(entry, cost=grant.charged)
             deliver(grant)
 
-    def _refuse_waiting(self, handle, problem):
-        self._queue.remove(handle)
-        handle.item[1](core.Refusal(problem=problem))
+    def _reject_queued(self, entry, problem):
+        self._queue.remove(entry)
+        entry.item[1](core.Problem(problem=problem))
 
-    def _schedule_pump(self):
+    def _schedule_dispatch(self):
         if self._timer is None:
-            self._timer = self._call_later(_REPUMP_INTERVAL_S, self._run_timer)
+            self._timer = self._call_later(
+                _REDISPATCH_INTERVAL_S, self._run_timer
+            )
 
     def _run_timer(self):
         self._timer = None
-        self._pump()
+        self._dispatch_queued()
 
-    def _spills(self, request, wait):
-        if not self._servers.foreign or not self._servers.local:
+    def _should_spill_over(self, request, wait):
+        if not self._servers.remote or not self._servers.local:
             return False
         price = selection.region_price(request, self._service.routing) / 1000
-        self._spilling = limits.next_spilling(
-            spilling=self._spilling,
+        self._spilling_over = limits.should_spill_over(
+            spilling_over=self._spilling_over,
             expected_wait=wait,
             price=price,
         )
-        return self._spilling
+        return self._spilling_over
 
     def _candidates(self):
         if self._servers.local:
             return self._servers.local
-        return self._foreign_candidates()
+        return self._remote_candidates()
 
-    def _foreign_candidates(self):
-        if not self._foreign_slots:
+    def _remote_candidates(self):
+        if not self._remote_slots:
             return self._servers.eligible
-        found = []
-        for region, views in self._servers.foreign.items():
-            taken = sum([view.in_flight for view in views])
-            allowance = limits.foreign_allowance(
-                slots=self._foreign_slots[region],
-                regions=len(self._foreign_slots) + 1,
+        selected = []
+        for region, views in self._servers.remote.items():
+            total_in_flight = sum([view.in_flight for view in views])
+            request_limit = limits.remote_request_limit(
+                slots=self._remote_slots[region],
+                regions=len(self._remote_slots) + 1,
             )
-            if taken < allowance:
-                found.extend(views)
-        return tuple(found)
+            if total_in_flight < request_limit:
+                selected.extend(views)
+        return tuple(selected)
 
-    def _choose(self, request, now, candidates, waiting=0):
+    def _choose(self, request, now, candidates, queue_length=0):
         views = candidates
         if request.excluded:
             views = tuple(
@@ -338,7 +369,7 @@
         if not views:
             return None
         if self._servers.has_cold and not request.kind.idempotent:
-            views = health.proved_views(views)
+            views = health.non_idempotent_candidates(views)
         self._sequence += 1
         choice = self._policy(
             views=views,
@@ -349,16 +380,16 @@
                 now=now,
                 rng=self._rng,
                 sequence=self._sequence,
-                waiting=waiting,
-                memory=self._memory,
-                share=self._share,
+                queue_length=queue_length,
+                policy_state=self._policy_state,
+                slot_share=self._slot_share,
             ),
         )
         if not isinstance(choice, selection.Choice):
             return None
-        self._memory = choice.memory
+        self._policy_state = choice.policy_state
         view = self._servers.find(choice.server.name)
-        self._servers.put(
+        self._servers.update(
             core.evolve_view(view, in_flight=view.in_flight + 1, last_used=now)
         )
         return core.Grant(server=choice.server, granted=now)
--- a/wigeonrouter/dispatch/_server_table.py
+++ b/wigeonrouter/dispatch/_server_table.py
@@ -1,8 +1,8 @@
-"""The backend views of one service, sorted by whether they may get work.
+"""The backend views of one service, grouped by eligibility and region.
 
 Each request changes one view twice. The table therefore replaces a view in
-place as long as its eligibility stays the same, and sorts all views anew
-only when a state, a server or the set of leaving servers has changed.
+place while its eligibility stays the same, and rebuilds the groups only after
+a change of a state, of the servers or of the set of draining servers.
 """
 
 import dataclasses
@@ -13,7 +13,11 @@
 
 
 class ServerTable:
-    """Owns the views of all configured servers of a service."""
+    """Owns the views of all configured servers of a service.
+
+    Args:
+      place: core.Place of this daemon.
+    """
 
     def __init__(self, *, place):
         self._place = place
@@ -22,8 +26,8 @@
         self._positions = {}
         self._eligible = []
         self._local = []
-        self._foreign = {}
-        self._slots = 0
+        self._remote = {}
+        self._local_slots = 0
         self._has_cold = False
 
     @property
@@ -32,41 +36,41 @@
         return tuple(self._views.values())
 
     @property
-    def group(self):
+    def all_views(self):
         """All views without a copy; valid until the next change."""
         return self._views.values()
 
     @property
     def eligible(self):
-        """Views of servers that may get work; readers must not modify it."""
+        """Views of servers that may get requests; must not be modified."""
         return self._eligible
 
     @property
     def local(self):
-        """Eligible views of the own region."""
+        """Eligible views of the daemon's own region."""
         return self._local
 
     @property
-    def foreign(self):
+    def remote(self):
         """Dict from each other region to its eligible views."""
-        return self._foreign
+        return self._remote
 
     @property
     def has_cold(self):
-        """Whether any eligible server is cold."""
+        """Whether any eligible server is in the state COLD."""
         return self._has_cold
 
     @property
     def local_slots(self):
-        """Number of requests that the local eligible servers may run."""
-        return self._slots
+        """Sum of the concurrency limits of the local eligible servers."""
+        return self._local_slots
 
     def find(self, name):
         """Return the view of a server, or None."""
         return self._views.get(name)
 
     def configure(self, *, servers, now):
-        """Take over a tuple of core.BackendServer; known views are kept."""
+        """Apply a tuple of core.BackendServer; known views are kept."""
         views = {}
         for server in servers:
             known = self._views.get(server.name)
@@ -78,50 +82,52 @@
                 known = dataclasses.replace(known, server=server)
             views[server.name] = known
         self._views = views
-        self._sort()
+        self._rebuild_groups()
 
     def set_draining(self, *, addresses, now):
-        """Take over the addresses that are known to be leaving."""
+        """Apply the set of addresses of draining servers."""
         returned = self._draining - addresses
         self._draining = addresses
         for name, view in self._views.items():
             if str(view.server.address) in returned:
-                self._views[name] = health.after_return(view=view, now=now)
-        self._sort()
+                self._views[name] = health.after_drain_end(view=view, now=now)
+        self._rebuild_groups()
 
-    def put(self, view):
+    def update(self, view):
         """Replace the view of a server."""
         name = view.server.name
-        before = self._views[name]
+        previous = self._views[name]
         self._views[name] = view
-        if before.state is not view.state:
-            self._sort()
+        if previous.state is not view.state:
+            self._rebuild_groups()
             return
         position = self._positions.get(name)
         if position is None:
             return
-        in_eligible, group, in_group = position
-        self._eligible[in_eligible] = view
-        group[in_group] = view
-        if group is self._local and before.limit != view.limit:
-            self._slots += selection.capacity(view)
-            self._slots -= selection.capacity(before)
-
-    def _sort(self):
+        eligible_index, group, group_index = position
+        self._eligible[eligible_index] = view
+        group[group_index] = view
+        if group is self._local and previous.limit != view.limit:
+            self._local_slots += selection.concurrency_limit(view)
+            self._local_slots -= selection.concurrency_limit(previous)
+
+    def _rebuild_groups(self):
         self._positions = {}
-        self._eligible, self._local, self._foreign = [], [], {}
+        self._eligible, self._local, self._remote = [], [], {}
         for name, view in self._views.items():
-            if not health.may_get_work(view=view, draining=self._draining):
+            if not health.is_eligible(view=view, draining=self._draining):
                 continue
             region = view.server.place.region
             if region == self._place.region:
                 group = self._local
             else:
-                group = self._foreign.setdefault(region, [])
+                group = self._remote.setdefault(region, [])
             self._positions[name] = (len(self._eligible), group, len(group))
             self._eligible.append(view)
             group.append(view)
-        self._slots = sum(selection.capacity(view) for view in self._local)
+        self._local_slots = sum(
+            selection.concurrency_limit(view) for view in self._local
+        )
         self._has_cold = any(
             view.state is core.ServerState.COLD for view in self._eligible
         )
