--- a/wigeonrouter/configuration/_acceptance_test.py
+++ b/wigeonrouter/configuration/_acceptance_test.py
@@ -75,9 +75,9 @@
 def test_a_writer_paused_while_the_log_wraps_around_fails(store):
     # The paused writer read slot 1 while it was empty.
     key = configuration.log_key(1)
-    late = settings_pb2.LogEntry(revision=4097, change_id="newer")
+    newer = settings_pb2.LogEntry(revision=4097, change_id="newer")
     assert store.compare_and_swap(
-        key=key, expected_version=0, value=late.SerializeToString()
+        key=key, expected_version=0, value=newer.SerializeToString()
     )
     stale = settings_pb2.LogEntry(revision=1, change_id="stale")
     assert not store.compare_and_swap(
--- a/wigeonrouter/configuration/_retained.py
+++ b/wigeonrouter/configuration/_retained.py
@@ -6,7 +6,7 @@
 from wigeonrouter import settings
 from wigeonrouter.schema import settings_pb2
 
-# Older entries are not available to peers and operators, only a snapshot is.
+# Peers and operators get older revisions only as part of a snapshot.
 MAX_RETAINED_ENTRIES = 1024
 # One entry may take 1 MB, and the control process may use 128 MB in total.
 MAX_RETAINED_BYTES = 16 << 20
@@ -14,6 +14,8 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _Retained:
+    """An entry, the changes that undo it, and the size of both in bytes."""
+
     entry: settings_pb2.LogEntry
     undo: tuple
     byte_count: int
@@ -119,8 +121,8 @@
           root: settings_pb2.Node, the tree at the newest revision.
           newest: the newest revision.
         Returns:
-          settings_pb2.Node, or None where the entries after the revision are
-          not all retained.
+          settings_pb2.Node, or None if the revision is not reached yet or
+          the entry after it is no longer retained.
         """
         if revision > newest or (
             revision < newest and revision + 1 not in self._entries
--- a/wigeonrouter/membership/_gossip.py
+++ b/wigeonrouter/membership/_gossip.py
@@ -148,7 +148,7 @@
         self._exchanges.set_ready()
 
     def set_seeds(self, seeds):
-        """Replace the seeds, peer addresses that need not be known members."""
+        """Replace the seeds, addresses that are tried besides the members."""
         self._seeds = tuple(seeds)
 
     def renew_channels(self):
@@ -246,8 +246,8 @@
             self._schedule.retry_dead_now()
         self._exchange_with_seed(now)
         self._table.expire(now=self._clock())
-        forgotten = self._facts.expire(now_ms=self._exchanges.now_ms())
-        if forgotten:
+        expired_facts = self._facts.expire(now_ms=self._exchanges.now_ms())
+        if expired_facts:
             self._exchanges.notify_facts([])
         self._rounds += 1
 
@@ -349,7 +349,7 @@
                 return
 
     def _exchange_with_seed(self, now):
-        """Exchange with an unknown seed, which rejoins separate groups."""
+        """Contact a seed that is not a known member, to heal partitions."""
         if now - self._last_seed < _schedule.DEAD_RETRY_INTERVAL_S:
             return
         self._last_seed = now
@@ -363,6 +363,11 @@
         )
 
     def _unknown_seeds(self, all_seeds=False):
+        """Return the seeds that are not addresses of known members.
+
+        Args:
+          all_seeds: whether to leave out this daemon's own address only.
+        """
         known = {self._table.own.peer_address}
         if not all_seeds:
             known = {member.peer_address for member in self._table.members}
@@ -377,6 +382,8 @@
         )
         reply = self._exchanges.exchange(peer)
         if reply is None:
+            # A call that spans a pause of this process says nothing about the
+            # peer.
             if self._clock() - started < PAUSE_THRESHOLD_S:
                 gevent.spawn(self._probe_indirectly, peer)
             return
--- a/wigeonrouter/membership/_gossip_test.py
+++ b/wigeonrouter/membership/_gossip_test.py
@@ -64,10 +64,10 @@
     fleet[0].replication.accept(_proposal("a")).unwrap()
     store_standin.inject(store_pb2.FaultCall(down=True))
     _nodes.wait_for(lambda: all(n.replica.revision == 1 for n in fleet))
-    refused = fleet[1].replication.accept(_proposal("b"))
-    assert isinstance(refused.failure(), configuration.StoreDown)
-    late = nodes.start(seeds=[fleet[3].gossip.table.own.peer_address])
-    assert late.replica.revision == 1
+    rejected = fleet[1].replication.accept(_proposal("b"))
+    assert isinstance(rejected.failure(), configuration.StoreDown)
+    joiner = nodes.start(seeds=[fleet[3].gossip.table.own.peer_address])
+    assert joiner.replica.revision == 1
 
 
 def test_a_change_is_fetched_after_lost_pushes(nodes, store_standin):
@@ -201,8 +201,8 @@
         )
     while not first.gossip._facts.all_updates_sent:
         first.gossip._facts.take_updates(max_sends=1)
-    late = nodes.start(seeds=[first.gossip.table.own.peer_address])
-    assert sorted(f.address for f in late.gossip.facts) == sorted(
+    joiner = nodes.start(seeds=[first.gossip.table.own.peer_address])
+    assert sorted(f.address for f in joiner.gossip.facts) == sorted(
         f.address for f in first.gossip.facts
     )
 
@@ -219,7 +219,7 @@
     _nodes.wait_for(lambda: second.gossip.facts)
 
 
-_GOOD = core.Member(
+_VALID_MEMBER = core.Member(
     daemon_id="other",
     incarnation=1,
     state=core.MemberState.ALIVE,
@@ -232,9 +232,9 @@
 
 def _gossip_message(*, sender=None, member=None, fact=None, **more):
     message = peer_pb2.GossipMessage(
-        sender=_codec.member_to_message(_GOOD), **more
+        sender=_codec.member_to_message(_VALID_MEMBER), **more
     )
-    message.members.add().CopyFrom(_codec.member_to_message(_GOOD))
+    message.members.add().CopyFrom(_codec.member_to_message(_VALID_MEMBER))
     message.facts.add(
         address="127.0.0.1:9", state="draining", version=1, source="operator"
     )
@@ -250,12 +250,12 @@
 
 def _push_message(*entries):
     return peer_pb2.PushRequest(
-        sender=_codec.member_to_message(_GOOD),
+        sender=_codec.member_to_message(_VALID_MEMBER),
         entries=[settings_pb2.LogEntry(**entry) for entry in entries],
     )
 
 
-_ENTRY = {"revision": 1, "change_id": "a"}
+_VALID_ENTRY = {"revision": 1, "change_id": "a"}
 
 
 @pytest.mark.parametrize(
@@ -280,15 +280,18 @@
         ("Push", _push_message()),
         ("Push", _push_message({"revision": 0, "change_id": "a"})),
         ("Push", _push_message({"revision": 1})),
-        ("Push", _push_message(_ENTRY, {"revision": 3, "change_id": "b"})),
         (
             "Push",
-            _push_message({**_ENTRY, "changes": [{"path": "a"}]}),
+            _push_message(_VALID_ENTRY, {"revision": 3, "change_id": "b"}),
+        ),
+        (
+            "Push",
+            _push_message({**_VALID_ENTRY, "changes": [{"path": "a"}]}),
         ),
         ("ProbeFor", peer_pb2.ProbeForRequest(target_address="x")),
     ],
 )
-def test_a_malformed_message_is_refused_and_changes_nothing(
+def test_a_malformed_message_is_rejected_and_changes_nothing(
     nodes, method, message
 ):
     node = nodes.start()
--- a/wigeonrouter/membership/_replication_test.py
+++ b/wigeonrouter/membership/_replication_test.py
@@ -20,7 +20,7 @@
 from wigeonrouter.schema import settings_pb2
 
 
-class _DownStore:
+class _UnavailableStore:
     def get(self, key):
         raise store_api.StoreUnavailable("down")
 
@@ -64,7 +64,7 @@
         ]
     )
     replication = membership.Replication(
-        store=_DownStore(),
+        store=_UnavailableStore(),
         replica=replica,
         gossip=_gossip(stated_revisions, joined),
         seeds=(),
@@ -93,12 +93,15 @@
 )
 def test_acknowledgements_come_from_other_failure_domains(domains, order):
     own = _table_test.member(0)
-    peers = [_at(number, name) for number, name in enumerate(domains, start=1)]
+    peers = [
+        _member_in(number, name)
+        for number, name in enumerate(domains, start=1)
+    ]
     addresses = _dissemination.acknowledgement_order(own=own, peers=peers)
     assert [m.place.failure_domain for m in addresses] == order
 
 
-def _at(number, domain):
+def _member_in(number, domain):
     return _table_test.member(
         number, place=core.Place(region=domain[:2], failure_domain=domain)
     )
--- a/wigeonrouter/membership/_table.py
+++ b/wigeonrouter/membership/_table.py
@@ -169,7 +169,7 @@
         if known is None or daemon_id == self._own.daemon_id:
             return False
         if known.state in _UNADVERTISED_STATES:
-            # A member that is not advertised needs no suspect state; it is
+            # A member that is not advertised keeps its state until it is
             # declared dead at the deadline.
             self._deadlines.setdefault(daemon_id, now + SUSPICION_TIMEOUT_S)
         if known.state is not core.MemberState.ALIVE:
@@ -195,16 +195,16 @@
             self._store_record(
                 dataclasses.replace(known, state=core.MemberState.DEAD), now
             )
-        forgotten = [
+        removed = [
             daemon_id
             for daemon_id, died_at in self._died_at.items()
             if died_at + DEAD_RETENTION_S <= now
         ]
-        for daemon_id in forgotten:
+        for daemon_id in removed:
             del self._died_at[daemon_id]
             del self._members[daemon_id]
             self._updates.discard(daemon_id)
-        return bool(overdue or forgotten)
+        return bool(overdue or removed)
 
     def extend_deadlines(self, seconds):
         """Move all deadlines later, after a pause of this process.
--- a/wigeonrouter/membership/_tls_test.py
+++ b/wigeonrouter/membership/_tls_test.py
@@ -39,7 +39,7 @@
     return tmp_path
 
 
-def _files(folder, daemon_id, *, accepted=("old",), signer="old"):
+def _tls_files(folder, daemon_id, *, accepted=("old",), signer="old"):
     return {
         "authority_files": [
             str(folder / name / "authority.pem") for name in accepted
@@ -90,8 +90,10 @@
 def test_only_the_daemon_named_by_the_certificate_is_served(
     authorities, serve, signer, certificate, stated, sender, served
 ):
-    address = serve(membership.PeerTls(**_files(authorities, "d1")))
-    tls = membership.PeerTls(**_files(authorities, certificate, signer=signer))
+    address = serve(membership.PeerTls(**_tls_files(authorities, "d1")))
+    tls = membership.PeerTls(
+        **_tls_files(authorities, certificate, signer=signer)
+    )
     client = _client.PeerClient(daemon_id=stated, tls=tls)
     reply = _exchange(client, address, sender)
     assert (reply is not None) == served
@@ -118,8 +120,10 @@
 
 
 @pytest.mark.parametrize("encrypted", [False, True])
-def test_a_peer_without_certificate_is_refused(authorities, serve, encrypted):
-    address = serve(membership.PeerTls(**_files(authorities, "d1")))
+def test_a_peer_without_a_certificate_is_rejected(
+    authorities, serve, encrypted
+):
+    address = serve(membership.PeerTls(**_tls_files(authorities, "d1")))
     authority_file = authorities / "old" / "authority.pem"
     tls = _NoCertificate(authority_file) if encrypted else None
     client = _client.PeerClient(daemon_id="d2", tls=tls)
@@ -129,8 +133,8 @@
 
 def test_a_server_at_another_address_is_not_trusted(authorities, serve):
     """Guards against a server that uses a certificate stolen from a VM."""
-    address = serve(membership.PeerTls(**_files(authorities, "d3")))
-    tls = membership.PeerTls(**_files(authorities, "d2"))
+    address = serve(membership.PeerTls(**_tls_files(authorities, "d3")))
+    tls = membership.PeerTls(**_tls_files(authorities, "d2"))
     client = _client.PeerClient(daemon_id="d2", tls=tls)
     assert _exchange(client, address, "d2") is None
     client.close()
@@ -138,8 +142,8 @@
 
 def test_certificates_are_replaced_without_an_outage(authorities, serve):
     """Guards against lost connections while the authority is replaced."""
-    server_tls = membership.PeerTls(**_files(authorities, "d1"))
-    client_tls = membership.PeerTls(**_files(authorities, "d2"))
+    server_tls = membership.PeerTls(**_tls_files(authorities, "d1"))
+    client_tls = membership.PeerTls(**_tls_files(authorities, "d2"))
     address = serve(server_tls)
     client = _client.PeerClient(daemon_id="d2", tls=client_tls)
     both = {"accepted": ("old", "new")}
@@ -153,31 +157,31 @@
         (new, {**both, "signer": "new"}),
         (new, new),
     ):
-        server_tls.load(**_files(authorities, "d1", **server_files))
-        client_tls.load(**_files(authorities, "d2", **client_files))
+        server_tls.load(**_tls_files(authorities, "d1", **server_files))
+        client_tls.load(**_tls_files(authorities, "d2", **client_files))
         client.renew_channels()
         assert _exchange(client, address, "d2").revision == 7
     client.close()
-    late = _client.PeerClient(
+    stale_peer = _client.PeerClient(
         daemon_id="d2",
-        tls=membership.PeerTls(**_files(authorities, "d2", **both)),
+        tls=membership.PeerTls(**_tls_files(authorities, "d2", **both)),
     )
-    assert _exchange(late, address, "d2") is None
-    late.close()
+    assert _exchange(stale_peer, address, "d2") is None
+    stale_peer.close()
 
 
 def test_a_failed_reload_keeps_the_certificate(authorities, serve):
     """Guards against a failed reload that drops the current certificate."""
-    tls = membership.PeerTls(**_files(authorities, "d1"))
-    wrong = _files(authorities, "d1")
-    wrong["key_file"] = _files(authorities, "d2")["key_file"]
+    tls = membership.PeerTls(**_tls_files(authorities, "d1"))
+    wrong = _tls_files(authorities, "d1")
+    wrong["key_file"] = _tls_files(authorities, "d2")["key_file"]
     with pytest.raises(OSError):
         tls.load(**wrong)
     with pytest.raises(OSError):
         tls.load(**{**wrong, "key_file": "/nonexistent"})
     address = serve(tls)
     client = _client.PeerClient(
-        daemon_id="d2", tls=membership.PeerTls(**_files(authorities, "d2"))
+        daemon_id="d2", tls=membership.PeerTls(**_tls_files(authorities, "d2"))
     )
     assert _exchange(client, address, "d2").revision == 7
     client.close()
