--- a/wigeonrouter/bench/_node_parts.py
+++ b/wigeonrouter/bench/_node_parts.py
@@ -153,7 +153,7 @@
         name=f"route-{service}-{number}",
         host=f"{service}.example",
         prefix=f"/part-{number}/",
-        shares=(topology.Share(service=service, weight=1),),
+        shares=(topology.TrafficShare(service=service, weight=1),),
         idempotent=True,
         timeout=2.0,
         target_latency=0.4,
@@ -177,7 +177,7 @@
             ),
             slots=2,
             state=topology.RegistrationState.READY,
-            born=1_790_000_000_000 + number,
+            started_ms=1_790_000_000_000 + number,
             sequence=number,
         )
     )
--- a/wigeonrouter/node/_cluster_state.py
+++ b/wigeonrouter/node/_cluster_state.py
@@ -56,18 +56,18 @@
 
     def on_outage(self):
         """Take over that the store does not answer."""
-        self._directory.on_outage()
+        self._directory.on_store_outage()
 
     def on_contact(self):
         """Take over that the store answers."""
-        self._directory.on_contact(self._clock())
+        self._directory.on_store_contact(self._clock())
 
     def apply(self, content):
         """Take over what lies in the store (topology.StoreContent)."""
         now = self._clock()
-        if content.whole:
+        if content.complete:
             self._hosts = {}
-            self._directory.keep_only(
+            self._directory.retain_only(
                 _registered_instances(content.records), now
             )
         else:
@@ -96,7 +96,7 @@
             )
         elif isinstance(record, topology.NodeWritten):
             self._hosts.setdefault(record.region, set()).add(record.host)
-        elif isinstance(record, topology.WaitLearned):
+        elif isinstance(record, topology.CallerTimeoutLearned):
             self._usual_waits[record.route] = record.seconds
         elif isinstance(record, topology.NodeRemoved):
             self._hosts.get(record.region, set()).discard(record.host)
--- a/wigeonrouter/node/_node.py
+++ b/wigeonrouter/node/_node.py
@@ -88,7 +88,7 @@
             balancer_for=self._balancer_for,
             sender=_sender.Sender(pool=self._pool, codec=codec),
             codec=codec,
-            splitter=topology.Splitter(rng=self._rng),
+            splitter=topology.TrafficSplitter(rng=self._rng),
             events=events,
             metrics=_metrics.RequestMetrics(metrics=self._metrics),
         )
@@ -277,14 +277,14 @@
                     )
 
     def _entries_ttl(self):
-        return min(_ENTRIES_TTL_S, self._settings.bounds.answer_lifetime)
+        return min(_ENTRIES_TTL_S, self._settings.bounds.max_entry_ttl)
 
     def _choose_entries(self, query):
         self._cluster_state.wait_configured(_STARTUP_WAIT_S)
         if self._cluster_state.configuration is None:
             return ()
         services = self._cluster_state.routes.services_of(query.host)
-        homes = topology.homes(
+        homes = topology.home_nodes(
             service=services[0] if services else "",
             peers=self._region_member.peers,
             count=_HOMES_PER_SERVICE,
--- a/wigeonrouter/node/_peer_requests.py
+++ b/wigeonrouter/node/_peer_requests.py
@@ -52,7 +52,7 @@
         role=node_pb2.Role(
             kind=_ROLE_NUMBERS[role.kind],
             hub=role.hub,
-            store_answers=role.store_answers,
+            store_answers=role.store_reachable,
         )
     )
 
@@ -64,7 +64,7 @@
     return topology.Role(
         kind=_ROLE_KINDS.get(reply.role.kind, topology.RoleKind.UNDECIDED),
         hub=reply.role.hub,
-        store_answers=reply.role.store_answers,
+        store_reachable=reply.role.store_answers,
     )
 
 
--- a/wigeonrouter/node/_region_member.py
+++ b/wigeonrouter/node/_region_member.py
@@ -173,17 +173,17 @@
 
     def _run_one_role(self):
         decision = topology.decide_role(
-            own=self._settings.host,
+            own_host=self._settings.host,
             order=self._candidate_order(),
-            answers=self._query_roles(),
-            avoided=self._avoided_hosts(),
+            roles=self._query_roles(),
+            excluded_hosts=self._avoided_hosts(),
             reaches_store=self._reaches_store,
         )
-        waits = decision.verdict is topology.Verdict.WAIT
+        waits = decision.action is topology.HubAction.WAIT
         self._hub_waits = self._hub_waits + 1 if waits else 0
         if waits and self._hub_waits <= _MAX_HUB_WAITS:
             gevent.sleep(_HUB_WAIT_S * self._rng.uniform(0.7, 1.3))
-        elif decision.verdict is topology.Verdict.FOLLOW:
+        elif decision.action is topology.HubAction.FOLLOW:
             self._run_as_follower(decision.hub)
         else:
             self._run_as_hub()
@@ -259,8 +259,8 @@
         if not self._reaches_store:
             return self._other_hub_reaches_store()
         answers = self._query_roles()
-        return topology.steps_down(
-            own=self._settings.host, order=order, answers=answers
+        return topology.should_step_down(
+            own_host=self._settings.host, order=order, roles=answers
         )
 
     def _on_store_contact(self):
@@ -360,7 +360,7 @@
 
     def _other_hub_reaches_store(self):
         return any(
-            role.kind is topology.RoleKind.HUB and role.store_answers
+            role.kind is topology.RoleKind.HUB and role.store_reachable
             for role in self._query_roles().values()
         )
 
@@ -405,7 +405,7 @@
     def _set_role(self, kind, hub, store_answers):
         if self._leaving:
             kind, hub = topology.RoleKind.UNDECIDED, ""
-        role = topology.Role(kind=kind, hub=hub, store_answers=store_answers)
+        role = topology.Role(kind=kind, hub=hub, store_reachable=store_answers)
         if (role.kind, role.hub) != (self._role.kind, self._role.hub):
             self._events.notice("role", kind=kind.value, hub=hub)
         self._role = role
--- a/wigeonrouter/node/_server_pool.py
+++ b/wigeonrouter/node/_server_pool.py
@@ -134,7 +134,7 @@
 
         Args:
           health_path: path of their health check.
-          known: iterable of the directory's Known records of the service.
+          known: iterable of topology.KnownServer of the service.
         """
         self._health_path = health_path
         registrations, views = {}, {}
@@ -146,12 +146,12 @@
             registrations[instance] = registration
             view = self._views.get(instance)
             before = self._registrations.get(instance)
-            if view is None or before.born != registration.born:
+            if view is None or before.started_ms != registration.started_ms:
                 view = self._new_view(registration)
             views[instance] = dataclasses.replace(
                 view,
                 slots=registration.slots,
-                slow_start_until=record.learned + registration.warm_up,
+                slow_start_until=record.learned_at + registration.slow_start,
             )
         self._registrations, self._views = registrations, views
 
--- a/wigeonrouter/platform/_end_to_end_test.py
+++ b/wigeonrouter/platform/_end_to_end_test.py
@@ -285,7 +285,7 @@
     for server in servers:
         store.remove(f"servers/{server.instance}")
     store.refusing = False
-    wait_until(lambda: store.calls and node.region_member.role.store_answers)
+    wait_until(lambda: store.calls and node.region_member.role.store_reachable)
     gevent.sleep(0.3)
     assert caller.send("/read/a").status == 200
     store.put("servers/i-1", servers[0].entry(sequence=2))
--- a/wigeonrouter/platform/_feed.py
+++ b/wigeonrouter/platform/_feed.py
@@ -62,7 +62,7 @@
         """Return the topology.StoreContent of store items."""
         records = [self._decode_item(item) for item in items]
         return topology.StoreContent(
-            records=tuple(r for r in records if r is not None), whole=whole
+            records=tuple(r for r in records if r is not None), complete=whole
         )
 
     def close(self):
@@ -128,7 +128,7 @@
 def _decode_wait(item):
     if item.value is None or not item.value.isdigit():
         return None
-    return topology.WaitLearned(
+    return topology.CallerTimeoutLearned(
         route=item.key.removeprefix(_store_values.WAIT_PREFIX),
         seconds=int(item.value) / 1000,
     )
--- a/wigeonrouter/platform/_settings.py
+++ b/wigeonrouter/platform/_settings.py
@@ -124,7 +124,7 @@
     found = {}
     for name, wire_name in (
         ("retry_window", "budget_window"),
-        ("answer_lifetime", "ttl_max"),
+        ("max_entry_ttl", "ttl_max"),
         ("stop_grace", "grace"),
         ("config_apply", "config_apply"),
     ):
--- a/wigeonrouter/platform/_store_values.py
+++ b/wigeonrouter/platform/_store_values.py
@@ -69,12 +69,12 @@
         parsed_state = topology.RegistrationState(state)
     except ValueError as error:
         raise _fields.FieldError(f"state: {error}") from error
-    warm_up = 0.0
+    slow_start = 0.0
     if "warmup_left" in status:
-        warm_up = _fields.seconds(status, "warmup_left")
-    born = 0
+        slow_start = _fields.seconds(status, "warmup_left")
+    started_ms = 0
     if "born" in document:
-        born = _fields.number(document, "born")
+        started_ms = _fields.number(document, "born")
     return topology.Registration(
         instance=instance,
         service=_fields.text(info, "service"),
@@ -84,8 +84,8 @@
         ),
         slots=_fields.number(info, "slots", least=1),
         state=parsed_state,
-        warm_up=warm_up,
-        born=born,
+        slow_start=slow_start,
+        started_ms=started_ms,
         sequence=_fields.number(status, "seq"),
     )
 
@@ -132,13 +132,15 @@
 def _read_shares(name, route):
     if "traffic_split" not in route:
         return (
-            topology.Share(service=_fields.text(route, "service"), weight=1),
+            topology.TrafficShare(
+                service=_fields.text(route, "service"), weight=1
+            ),
         )
     rows = route["traffic_split"]
     if not isinstance(rows, list):
         raise _fields.FieldError(f"routes.{name}: split is no list")
     shares = tuple(
-        topology.Share(
+        topology.TrafficShare(
             service=_fields.text(row, "service"),
             weight=_fields.number(row, "weight"),
         )
--- a/wigeonrouter/platform/testing.py
+++ b/wigeonrouter/platform/testing.py
@@ -59,7 +59,7 @@
     """Return the document of a topology.Registration."""
     return {
         "address": str(registration.address),
-        "born": registration.born,
+        "born": registration.started_ms,
         "info": {
             "service": registration.service,
             "version": "v1",
@@ -69,7 +69,7 @@
         "status": {
             "state": registration.state.value,
             "seq": registration.sequence,
-            "warmup_left": _fields.format_time(registration.warm_up),
+            "warmup_left": _fields.format_time(registration.slow_start),
         },
     }
 
--- a/wigeonrouter/soak/_scene.py
+++ b/wigeonrouter/soak/_scene.py
@@ -267,7 +267,7 @@
         name=name,
         host=HOST,
         prefix=f"/{name}/",
-        shares=(topology.Share(service=service, weight=1),),
+        shares=(topology.TrafficShare(service=service, weight=1),),
         idempotent=idempotent,
         timeout=_ROUTE_TIMEOUT_S,
         target_latency=_TARGET_S,
--- a/wigeonrouter/topology/_directory.py
+++ b/wigeonrouter/topology/_directory.py
@@ -10,13 +10,13 @@
 from wigeonrouter.topology import _records
 
 # Living servers register again within about this time after an outage.
-RETURN_S = 2.2
+REREGISTRATION_GRACE_S = 2.2
 # Share of all registrations that go at once when they lapse.
-_MASS_SHARE = 0.5
+_MASS_LAPSE_SHARE = 0.5
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Known:
+class KnownServer:
     """A registration and what a node thinks of it.
 
     Attributes:
@@ -25,8 +25,8 @@
     """
 
     registration: _records.Registration
-    learned: float
-    lapsed: float | None = None
+    learned_at: float
+    lapsed_at: float | None = None
 
 
 class ServerDirectory:
@@ -45,11 +45,11 @@
         """Dict from instance to Known, leaving servers included."""
         return self._known
 
-    def on_outage(self):
+    def on_store_outage(self):
         """Note that the store does not answer."""
         self._in_outage = True
 
-    def on_contact(self, now):
+    def on_store_contact(self, now):
         """Note that the store answers."""
         if self._in_outage:
             self._in_outage = False
@@ -65,15 +65,15 @@
             return False
         self._latest[registration.instance] = registration
         before = self._known.get(registration.instance)
-        learned = now
+        learned_at = now
         if (
             before is not None
-            and before.registration.born == registration.born
-            and before.registration.warm_up == registration.warm_up
+            and before.registration.started_ms == registration.started_ms
+            and before.registration.slow_start == registration.slow_start
         ):
-            learned = before.learned
-        self._known[registration.instance] = Known(
-            registration=registration, learned=learned
+            learned_at = before.learned_at
+        self._known[registration.instance] = KnownServer(
+            registration=registration, learned_at=learned_at
         )
         return True
 
@@ -91,19 +91,21 @@
         gone = [
             instance
             for instance in instances
-            if instance in self._known and not self._known[instance].lapsed
+            if instance in self._known and not self._known[instance].lapsed_at
         ]
-        keep = self._is_near_outage(now) and len(gone) > _MASS_SHARE * len(
-            self._known
-        )
+        keep = self._is_near_outage(now) and len(
+            gone
+        ) > _MASS_LAPSE_SHARE * len(self._known)
         for instance in gone:
             known = self._known[instance]
             if keep and not _is_leaving(known):
-                self._known[instance] = dataclasses.replace(known, lapsed=now)
+                self._known[instance] = dataclasses.replace(
+                    known, lapsed_at=now
+                )
             else:
                 del self._known[instance]
 
-    def keep_only(self, instances, now):
+    def retain_only(self, instances, now):
         """Remove all registrations but some, after a full read."""
         self.remove(self._known.keys() - set(instances), now)
 
@@ -113,12 +115,15 @@
         Returns:
           Whether any was forgotten.
         """
-        if self._in_outage or now - self._outage_ended < RETURN_S:
+        if (
+            self._in_outage
+            or now - self._outage_ended < REREGISTRATION_GRACE_S
+        ):
             return False
         lapsed = [
             instance
             for instance, known in self._known.items()
-            if known.lapsed is not None
+            if known.lapsed_at is not None
         ]
         for instance in lapsed:
             del self._known[instance]
@@ -126,14 +131,21 @@
 
     def _is_newer(self, registration):
         latest = self._latest.get(registration.instance)
-        if latest is None or not registration.born or not latest.born:
+        if (
+            latest is None
+            or not registration.started_ms
+            or not latest.started_ms
+        ):
             return True
-        if registration.born != latest.born:
-            return registration.born > latest.born
+        if registration.started_ms != latest.started_ms:
+            return registration.started_ms > latest.started_ms
         return registration.sequence >= latest.sequence
 
     def _is_near_outage(self, now):
-        return self._in_outage or now - self._outage_ended < RETURN_S
+        return (
+            self._in_outage
+            or now - self._outage_ended < REREGISTRATION_GRACE_S
+        )
 
 
 def _is_leaving(known):
--- a/wigeonrouter/topology/_directory_test.py
+++ b/wigeonrouter/topology/_directory_test.py
@@ -41,9 +41,9 @@
 
 def test_servers_that_lapsed_in_an_outage_have_time_to_return(directory):
     """Guards against losing all servers with the store."""
-    directory.on_outage()
-    directory.on_contact(10.0)
-    directory.keep_only([], 10.0)
+    directory.on_store_outage()
+    directory.on_store_contact(10.0)
+    directory.retain_only([], 10.0)
     assert set(directory.known) == set("abcd")
     directory.put(registration("a", sequence=9), 11.0)
     assert directory.expire(12.5)
@@ -56,26 +56,28 @@
     Replays a node that was cut off from the store for 12 s, while one
     server left and the others stayed.
     """
-    directory.on_outage()
-    directory.on_contact(10.0)
-    directory.keep_only("bcd", 10.0)
+    directory.on_store_outage()
+    directory.on_store_contact(10.0)
+    directory.retain_only("bcd", 10.0)
     assert set(directory.known) == set("bcd")
 
 
 def test_draining_server_does_not_return_by_lapsing(directory):
     """Guards against work for a server that had announced its leaving."""
     directory.put(registration("a", state=DRAINING), 1.0)
-    directory.on_outage()
-    directory.on_contact(10.0)
+    directory.on_store_outage()
+    directory.on_store_contact(10.0)
     directory.remove("abcd", 10.0)
     assert set(directory.known) == set("bcd")
 
 
 def test_older_statement_of_the_same_start_is_ignored(directory):
     """Guards against a delayed statement that ends a drain."""
-    directory.put(registration("a", born=5, sequence=7, state=DRAINING), 1.0)
-    assert not directory.put(registration("a", born=5, sequence=6), 2.0)
+    directory.put(
+        registration("a", started_ms=5, sequence=7, state=DRAINING), 1.0
+    )
+    assert not directory.put(registration("a", started_ms=5, sequence=6), 2.0)
     assert directory.known["a"].registration.state is DRAINING
     directory.remove(["a"], 3.0)
-    assert not directory.put(registration("a", born=5, sequence=6), 4.0)
-    assert directory.put(registration("a", born=6, sequence=1), 5.0)
+    assert not directory.put(registration("a", started_ms=5, sequence=6), 4.0)
+    assert directory.put(registration("a", started_ms=6, sequence=1), 5.0)
--- a/wigeonrouter/topology/_records.py
+++ b/wigeonrouter/topology/_records.py
@@ -31,13 +31,13 @@
     place: core.Place
     slots: int
     state: RegistrationState
-    warm_up: float = 0.0
-    born: int = 0
+    slow_start: float = 0.0
+    started_ms: int = 0
     sequence: int = 0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Share:
+class TrafficShare:
     """Part of a route's requests that a service gets."""
 
     service: str
@@ -59,7 +59,7 @@
     name: str
     host: str
     prefix: str
-    shares: tuple[Share, ...]
+    shares: tuple[TrafficShare, ...]
     idempotent: bool
     timeout: float
     target_latency: float
@@ -142,7 +142,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class WaitLearned:
+class CallerTimeoutLearned:
     """A node wrote how long callers of a route usually wait, in seconds."""
 
     route: str
@@ -167,7 +167,7 @@
     """
 
     records: tuple
-    whole: bool
+    complete: bool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -184,7 +184,7 @@
 
     retry_ratio: float = 0.1
     retry_window: float = 10.0
-    answer_lifetime: float = 5.0
+    max_entry_ttl: float = 5.0
     stop_grace: float = 6.0
     config_apply: float = 2.5
 
--- a/wigeonrouter/topology/_region.py
+++ b/wigeonrouter/topology/_region.py
@@ -30,7 +30,7 @@
 
     kind: RoleKind
     hub: str = ""
-    store_answers: bool = False
+    store_reachable: bool = False
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -50,7 +50,7 @@
     capacity: int
 
 
-class Verdict(enum.Enum):
+class HubAction(enum.Enum):
     """What a node does next about its hub."""
 
     FOLLOW = "follow"
@@ -62,7 +62,7 @@
 class Decision:
     """A verdict, with the host of the hub to follow."""
 
-    verdict: Verdict
+    action: HubAction
     hub: str = ""
 
 
@@ -71,7 +71,7 @@
     return core.rendezvous_order(f"hub of {region}", hosts)
 
 
-def decide_role(*, own, order, answers, avoided, reaches_store):
+def decide_role(*, own_host, order, roles, excluded_hosts, reaches_store):
     """Decide whom to follow.
 
     A hub that exists is kept, so that a returning node does not take the
@@ -89,8 +89,8 @@
       Decision.
     """
     hubs, named = set(), set()
-    for host, role in answers.items():
-        if reaches_store and not role.store_answers:
+    for host, role in roles.items():
+        if reaches_store and not role.store_reachable:
             continue
         if role.kind is RoleKind.HUB:
             hubs.add(host)
@@ -98,19 +98,23 @@
             named.add(role.hub)
     for found in (hubs, named):
         for host in order:
-            if host in found and host != own and host not in avoided:
-                return Decision(verdict=Verdict.FOLLOW, hub=host)
+            if (
+                host in found
+                and host != own_host
+                and host not in excluded_hosts
+            ):
+                return Decision(action=HubAction.FOLLOW, hub=host)
     for host in order:
-        if host == own:
+        if host == own_host:
             break
-        role = answers.get(host)
+        role = roles.get(host)
         undecided = role is not None and role.kind is RoleKind.UNDECIDED
-        if undecided and host not in avoided:
-            return Decision(verdict=Verdict.WAIT)
-    return Decision(verdict=Verdict.BECOME_HUB)
+        if undecided and host not in excluded_hosts:
+            return Decision(action=HubAction.WAIT)
+    return Decision(action=HubAction.BECOME_HUB)
 
 
-def steps_down(*, own, order, answers):
+def should_step_down(*, own_host, order, roles):
     """Return whether a hub makes room for another one.
 
     Two hubs may exist after nodes lost each other. The one that comes first
@@ -118,16 +122,18 @@
     """
     position = {host: index for index, host in enumerate(order)}
     last = len(order)
-    for host, role in answers.items():
+    for host, role in roles.items():
         hub = host if role.kind is RoleKind.HUB else role.hub
-        if role.kind is RoleKind.UNDECIDED or not role.store_answers:
+        if role.kind is RoleKind.UNDECIDED or not role.store_reachable:
             continue
-        if hub != own and position.get(hub, last) < position.get(own, last):
+        if hub != own_host and position.get(hub, last) < position.get(
+            own_host, last
+        ):
             return True
     return False
 
 
-def homes(*, service, peers, count):
+def home_nodes(*, service, peers, count):
     """Return the peers that serve a service's callers, the first one first.
 
     Only peers of the largest capacity are taken, so that the machines that
--- a/wigeonrouter/topology/_region_test.py
+++ b/wigeonrouter/topology/_region_test.py
@@ -5,20 +5,20 @@
 from wigeonrouter import topology
 
 Kind = topology.RoleKind
-Verdict = topology.Verdict
+HubAction = topology.HubAction
 ORDER = ["a", "b", "c"]
 
 
-def role(kind, hub="", store_answers=True):
-    return topology.Role(kind=kind, hub=hub, store_answers=store_answers)
+def role(kind, hub="", store_reachable=True):
+    return topology.Role(kind=kind, hub=hub, store_reachable=store_reachable)
 
 
-def decide(own, answers, *, avoided=(), reaches_store=True):
+def decide(own_host, roles, *, excluded_hosts=(), reaches_store=True):
     return topology.decide_role(
-        own=own,
+        own_host=own_host,
         order=ORDER,
-        answers=answers,
-        avoided=frozenset(avoided),
+        roles=roles,
+        excluded_hosts=frozenset(excluded_hosts),
         reaches_store=reaches_store,
     )
 
@@ -26,21 +26,21 @@
 def test_existing_hub_is_kept():
     """Guards against a returning node that takes the role away."""
     decision = decide("a", {"c": role(Kind.HUB, "c")})
-    assert (decision.verdict, decision.hub) == (Verdict.FOLLOW, "c")
+    assert (decision.action, decision.hub) == (HubAction.FOLLOW, "c")
 
 
 def test_hub_is_found_through_its_followers():
     """Guards against a second hub where the first was not asked."""
     decision = decide("a", {"b": role(Kind.FOLLOWER, "c")})
-    assert (decision.verdict, decision.hub) == (Verdict.FOLLOW, "c")
+    assert (decision.action, decision.hub) == (HubAction.FOLLOW, "c")
 
 
 def test_first_living_node_becomes_the_hub():
     """Guards against a region without a hub, and with several."""
-    answers = {"a": role(Kind.UNDECIDED), "c": role(Kind.UNDECIDED)}
-    assert decide("b", answers).verdict is Verdict.WAIT
-    answers = {"c": role(Kind.UNDECIDED)}
-    assert decide("b", answers).verdict is Verdict.BECOME_HUB
+    roles = {"a": role(Kind.UNDECIDED), "c": role(Kind.UNDECIDED)}
+    assert decide("b", roles).action is HubAction.WAIT
+    roles = {"c": role(Kind.UNDECIDED)}
+    assert decide("b", roles).action is HubAction.BECOME_HUB
 
 
 def test_followers_of_a_cut_hub_are_not_waited_for():
@@ -49,38 +49,38 @@
     Replays a hub and a follower that are cut off from the store, while this
     node reaches it: it waited for the follower, which stayed.
     """
-    answers = {
-        "a": role(Kind.FOLLOWER, "c", store_answers=False),
-        "c": role(Kind.HUB, "c", store_answers=False),
+    roles = {
+        "a": role(Kind.FOLLOWER, "c", store_reachable=False),
+        "c": role(Kind.HUB, "c", store_reachable=False),
     }
-    decision = decide("b", answers, avoided=["c"])
-    assert decision.verdict is Verdict.BECOME_HUB
+    decision = decide("b", roles, excluded_hosts=["c"])
+    assert decision.action is HubAction.BECOME_HUB
 
 
 def test_any_hub_serves_while_the_store_is_down():
     """Guards against a region that falls apart with the store."""
-    answers = {"c": role(Kind.HUB, "c", store_answers=False)}
-    decision = decide("a", answers, reaches_store=False)
-    assert (decision.verdict, decision.hub) == (Verdict.FOLLOW, "c")
+    roles = {"c": role(Kind.HUB, "c", store_reachable=False)}
+    decision = decide("a", roles, reaches_store=False)
+    assert (decision.action, decision.hub) == (HubAction.FOLLOW, "c")
 
 
 def test_failed_hub_is_avoided():
     """Guards against following a hub that has just failed."""
-    answers = {"c": role(Kind.FOLLOWER, "a")}
-    decision = decide("b", answers, avoided=["a"])
-    assert decision.verdict is Verdict.BECOME_HUB
+    roles = {"c": role(Kind.FOLLOWER, "a")}
+    decision = decide("b", roles, excluded_hosts=["a"])
+    assert decision.action is HubAction.BECOME_HUB
 
 
 @pytest.mark.parametrize(
-    ("own", "other", "steps_down"),
+    ("own_host", "other", "expected"),
     [("b", "a", True), ("a", "b", False), ("b", "c", False)],
 )
-def test_of_two_hubs_the_first_in_order_stays(own, other, steps_down):
+def test_of_two_hubs_the_first_in_order_stays(own_host, other, expected):
     """Guards against two hubs for ever, and against none."""
-    answers = {other: role(Kind.HUB, other)}
+    roles = {other: role(Kind.HUB, other)}
     assert (
-        topology.steps_down(own=own, order=ORDER, answers=answers)
-        is steps_down
+        topology.should_step_down(own_host=own_host, order=ORDER, roles=roles)
+        is expected
     )
 
 
@@ -103,7 +103,7 @@
         peer("d", capacity=1500),
     ]
     for service in ("x", "y", "z"):
-        found = topology.homes(service=service, peers=peers, count=2)
+        found = topology.home_nodes(service=service, peers=peers, count=2)
         assert {home.host for home in found} == {"c", "d"}
 
 
@@ -111,10 +111,10 @@
     """Guards against moving all callers when one node goes."""
     peers = [peer(host) for host in "abcdef"]
     for service in ("x", "y", "z"):
-        (home,) = topology.homes(service=service, peers=peers, count=1)
+        (home,) = topology.home_nodes(service=service, peers=peers, count=1)
         others = [p for p in peers if p.host != home.host]
         for gone in others:
             rest = [p for p in peers if p != gone]
-            assert topology.homes(service=service, peers=rest, count=1) == (
-                home,
-            )
+            assert topology.home_nodes(
+                service=service, peers=rest, count=1
+            ) == (home,)
--- a/wigeonrouter/topology/_routing.py
+++ b/wigeonrouter/topology/_routing.py
@@ -38,7 +38,7 @@
         return sorted(weights, key=lambda name: (-weights[name], name))
 
 
-class Splitter:
+class TrafficSplitter:
     """Divides each route's requests by weight.
 
     Each node draws at random. With a fixed rotation, nodes that see few
--- a/wigeonrouter/topology/_routing_test.py
+++ b/wigeonrouter/topology/_routing_test.py
@@ -12,7 +12,7 @@
         host=host,
         prefix=prefix,
         shares=tuple(
-            topology.Share(service=service, weight=weight)
+            topology.TrafficShare(service=service, weight=weight)
             for service, weight in shares
         ),
         idempotent=True,
@@ -37,7 +37,7 @@
 def test_weights_divide_requests():
     """Guards against shares that miss their weights."""
     split = route("/a/", shares=(("alpha", 90), ("beta", 10), ("gamma", 0)))
-    splitter = topology.Splitter(rng=random.Random(4))
+    splitter = topology.TrafficSplitter(rng=random.Random(4))
     counts = collections.Counter(splitter.choose(split) for _ in range(4000))
     assert 0.08 < counts["beta"] / 4000 < 0.12
     assert not counts["gamma"]
