--- a/wigeonrouter/topology/__init__.py
+++ b/wigeonrouter/topology/__init__.py
@@ -1,4 +1,4 @@
-"""What a node knows of its deployment: routes, backend servers, itself."""
+"""What a node knows of its deployment: routes, servers and nodes."""
 
 from wigeonrouter.topology import _directory
 from wigeonrouter.topology import _records
--- a/wigeonrouter/topology/_directory.py
+++ b/wigeonrouter/topology/_directory.py
@@ -1,27 +1,31 @@
-"""Backend servers that may get work, from registrations that come and go.
+"""Directory of the registered backend servers.
 
-Load pattern: the store is down for seconds and the registrations lapse
-meanwhile, although the servers live. Servers whose registration went away
-around an outage are kept until they had time to register again.
+Load pattern: the store is unavailable for seconds, and the registrations
+expire in the meantime although the servers are alive. Servers whose
+registrations disappeared around such an outage are kept until they have had
+time to register again.
 """
 
 import dataclasses
 
 from wigeonrouter.topology import _records
 
-# Living servers register again within about this time after an outage.
+# Alive servers register again within about this time after an outage.
 REREGISTRATION_GRACE_S = 2.2
-# Share of all registrations that go at once when they lapse.
+# If more than this share of the registrations disappears at once, they have
+# lapsed for want of renewal.
 _MASS_LAPSE_SHARE = 0.5
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class KnownServer:
-    """A registration and what a node thinks of it.
+    """A registration, and when the node learned or lost it.
 
     Attributes:
-      learned: time at which it arrived, seconds on the monotonic clock.
-      lapsed: time at which it went away in an outage, None otherwise.
+      registration: Registration.
+      learned_at: time of arrival, seconds on the monotonic clock.
+      lapsed_at: time at which it lapsed in an outage of the store, None
+        otherwise.
     """
 
     registration: _records.Registration
@@ -34,71 +38,74 @@
 
     def __init__(self):
         self._known = {}
-        # Latest statement of each start, kept after the server has left: a
-        # delayed older statement must not bring it back.
-        self._latest = {}
-        self._outage_ended = float("-inf")
+        # The latest registration of each instance, kept after the server has
+        # left, so that a delayed older one does not add it again.
+        self._latest_registrations = {}
+        self._outage_ended_at = float("-inf")
         self._in_outage = False
 
     @property
     def known(self):
-        """Dict from instance to Known, leaving servers included."""
+        """Dict from instance to KnownServer, including draining servers."""
         return self._known
 
     def on_store_outage(self):
-        """Note that the store does not answer."""
+        """Record that the store does not respond."""
         self._in_outage = True
 
     def on_store_contact(self, now):
-        """Note that the store answers."""
+        """Record that the store has responded."""
         if self._in_outage:
             self._in_outage = False
-            self._outage_ended = now
+            self._outage_ended_at = now
 
     def put(self, registration, now):
-        """Take over a registration that was written.
+        """Apply a registration that was written.
 
+        Args:
+          registration: Registration.
+          now: seconds on the monotonic clock.
         Returns:
-          Whether it says something newer than what is known.
+          Whether it is newer than the one known before.
         """
         if not self._is_newer(registration):
             return False
-        self._latest[registration.instance] = registration
-        before = self._known.get(registration.instance)
+        self._latest_registrations[registration.instance] = registration
+        previous = self._known.get(registration.instance)
         learned_at = now
         if (
-            before is not None
-            and before.registration.started_ms == registration.started_ms
-            and before.registration.slow_start == registration.slow_start
+            previous is not None
+            and previous.registration.started_ms == registration.started_ms
+            and previous.registration.slow_start == registration.slow_start
         ):
-            learned_at = before.learned_at
+            learned_at = previous.learned_at
         self._known[registration.instance] = KnownServer(
             registration=registration, learned_at=learned_at
         )
         return True
 
     def remove(self, instances, now):
-        """Take over that registrations went away or became unreadable.
+        """Apply the removal of registrations, or that they became invalid.
 
-        Only when most of them go at once, around an outage of the store,
-        have they lapsed for want of renewal. Single ones have left, although
-        this node learned of it late.
+        Registrations lapse together around an outage of the store, because
+        they are not renewed. If only a few disappear, their servers have left,
+        even if this node learns of it late.
 
         Args:
-          instances: those that went away together.
+          instances: those that were removed together.
           now: seconds on the monotonic clock.
         """
-        gone = [
+        removed = [
             instance
             for instance in instances
             if instance in self._known and not self._known[instance].lapsed_at
         ]
-        keep = self._is_near_outage(now) and len(
-            gone
+        lapsed_together = self._is_near_outage(now) and len(
+            removed
         ) > _MASS_LAPSE_SHARE * len(self._known)
-        for instance in gone:
+        for instance in removed:
             known = self._known[instance]
-            if keep and not _is_leaving(known):
+            if lapsed_together and not _is_draining(known):
                 self._known[instance] = dataclasses.replace(
                     known, lapsed_at=now
                 )
@@ -106,18 +113,18 @@
                 del self._known[instance]
 
     def retain_only(self, instances, now):
-        """Remove all registrations but some, after a full read."""
+        """Remove all registrations but those given, after a full read."""
         self.remove(self._known.keys() - set(instances), now)
 
     def expire(self, now):
-        """Forget lapsed registrations whose time to return is over.
+        """Drop lapsed registrations that were not renewed in time.
 
         Returns:
-          Whether any was forgotten.
+          Whether any was dropped.
         """
         if (
             self._in_outage
-            or now - self._outage_ended < REREGISTRATION_GRACE_S
+            or now - self._outage_ended_at < REREGISTRATION_GRACE_S
         ):
             return False
         lapsed = [
@@ -130,7 +137,7 @@
         return bool(lapsed)
 
     def _is_newer(self, registration):
-        latest = self._latest.get(registration.instance)
+        latest = self._latest_registrations.get(registration.instance)
         if (
             latest is None
             or not registration.started_ms
@@ -144,9 +151,9 @@
     def _is_near_outage(self, now):
         return (
             self._in_outage
-            or now - self._outage_ended < REREGISTRATION_GRACE_S
+            or now - self._outage_ended_at < REREGISTRATION_GRACE_S
         )
 
 
-def _is_leaving(known):
+def _is_draining(known):
     return known.registration.state is _records.RegistrationState.DRAINING
--- a/wigeonrouter/topology/_directory_test.py
+++ b/wigeonrouter/topology/_directory_test.py
@@ -33,14 +33,14 @@
     return directory
 
 
-def test_removed_server_is_gone_at_once(directory):
-    """Guards against work for a server that left without notice."""
+def test_removed_server_is_dropped_at_once(directory):
+    """Guards against requests for a server that left without draining."""
     directory.remove(["a"], 1.0)
     assert set(directory.known) == set("bcd")
 
 
-def test_servers_that_lapsed_in_an_outage_have_time_to_return(directory):
-    """Guards against losing all servers with the store."""
+def test_servers_that_lapsed_in_an_outage_may_register_again(directory):
+    """Guards against losing all servers when the store is unavailable."""
     directory.on_store_outage()
     directory.on_store_contact(10.0)
     directory.retain_only([], 10.0)
@@ -50,11 +50,11 @@
     assert set(directory.known) == {"a"}
 
 
-def test_single_server_that_went_during_an_outage_is_gone(directory):
-    """Guards against keeping a server that left while the node was cut.
+def test_single_server_removed_during_an_outage_is_dropped(directory):
+    """Guards against keeping a server that left during an outage.
 
-    Replays a node that was cut off from the store for 12 s, while one
-    server left and the others stayed.
+    A node was cut off from the store for 12 s, while one server left and the
+    others stayed.
     """
     directory.on_store_outage()
     directory.on_store_contact(10.0)
@@ -62,8 +62,8 @@
     assert set(directory.known) == set("bcd")
 
 
-def test_draining_server_does_not_return_by_lapsing(directory):
-    """Guards against work for a server that had announced its leaving."""
+def test_draining_server_is_not_kept_when_it_lapses(directory):
+    """Guards against requests for a server that was already draining."""
     directory.put(registration("a", state=DRAINING), 1.0)
     directory.on_store_outage()
     directory.on_store_contact(10.0)
@@ -71,8 +71,8 @@
     assert set(directory.known) == set("bcd")
 
 
-def test_older_statement_of_the_same_start_is_ignored(directory):
-    """Guards against a delayed statement that ends a drain."""
+def test_older_registration_of_an_instance_is_ignored(directory):
+    """Guards against a delayed registration that ends a drain."""
     directory.put(
         registration("a", started_ms=5, sequence=7, state=DRAINING), 1.0
     )
--- a/wigeonrouter/topology/_records.py
+++ b/wigeonrouter/topology/_records.py
@@ -7,7 +7,7 @@
 
 
 class RegistrationState(enum.Enum):
-    """What a backend server says of itself."""
+    """The state that a backend server reports for itself."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -18,11 +18,11 @@
     """A backend server as it registered itself.
 
     Attributes:
-      instance: name of this start of the server.
-      warm_up: how much longer it is slow, counted from `born` on or from
+      instance: identifies one start of the server.
+      slow_start: duration of its slow start, counted from `started_ms` or from
         the arrival of the registration.
-      born: ms since the epoch of its start, 0 where unknown.
-      sequence: number of the statement, counted from the start on.
+      started_ms: its start in ms since the epoch, 0 if unknown.
+      sequence: number of this registration, counted from its start.
     """
 
     instance: str
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class TrafficShare:
-    """Part of a route's requests that a service gets."""
+    """The share of the requests of a route that a service gets."""
 
     service: str
     weight: int
@@ -46,14 +46,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Route:
-    """Where requests of a host and path prefix go.
+    """Where the requests for a host and path prefix go.
 
     Attributes:
-      idempotent: whether a request may run more than once.
+      idempotent: whether a request may be executed more than once.
       timeout: longest time that a caller is kept waiting.
-      target_latency: time within which an answer has its full worth.
-      priority: rank of the requests, 0 is the most urgent.
-      max_attempts: most backend servers that get one request.
+      target_latency: time within which a response has its full utility.
+      priority: priority of the requests, 0 is the highest.
+      max_attempts: largest number of backend servers tried for a request.
     """
 
     name: str
@@ -69,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceSettings:
-    """Settings of a service that the operator wrote."""
+    """Settings of a service, written by the operator."""
 
     name: str
     health_path: str
@@ -78,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CallerLimits:
-    """Bounds on what callers send."""
+    """Limits on the requests and connections of callers."""
 
     max_header_bytes: int = 16 << 10
     max_body_bytes: int = 64 << 20
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Configuration:
-    """All that the operator configured, at one version."""
+    """The whole configuration by the operator, at one version."""
 
     version: int
     routes: tuple[Route, ...]
@@ -114,10 +114,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RegistrationRemoved:
-    """A registration went away, or no longer names a usable server.
+    """A registration was removed, or no longer names a usable server.
 
     Attributes:
-      reason: why a present one is not usable, empty where it went away.
+      reason: why an existing registration is not usable, empty if it was
+        removed.
     """
 
     instance: str
@@ -127,7 +128,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ConfigurationRejected:
-    """A configuration that cannot be read; the one in force stays."""
+    """A configuration that cannot be read; the one in force is kept."""
 
     reason: str
     revision: int
@@ -135,7 +136,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NodeWritten:
-    """A node of some region registered itself."""
+    """A node of any region registered itself."""
 
     region: str
     host: str
@@ -143,7 +144,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CallerTimeoutLearned:
-    """A node wrote how long callers of a route usually wait, in seconds."""
+    """A node wrote the usual timeout of a route's callers, in seconds."""
 
     route: str
     seconds: float
@@ -151,7 +152,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NodeRemoved:
-    """A node's registration went away."""
+    """The registration of a node was removed."""
 
     region: str
     host: str
@@ -159,11 +160,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class StoreContent:
-    """What lies in the store, or what changed there.
+    """Records read from the store, either all of them or changes.
 
     Attributes:
       records: the records above, oldest first.
-      whole: whether nothing else lies there.
+      complete: whether the store holds no other records.
     """
 
     records: tuple
@@ -172,14 +173,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Bounds:
-    """Bounds that the deployment sets on all nodes together.
+    """Limits that the deployment sets for all nodes together.
 
     Attributes:
-      retry_ratio: further attempts per request of a service.
-      retry_window: seconds over which they are counted.
-      answer_lifetime: longest time that callers may keep an entry answer.
-      stop_grace: time from the request to stop until the process is killed.
-      config_apply: time in which an accepted change has to be in force.
+      retry_ratio: retries per request of a service.
+      retry_window: seconds over which retries and requests are counted.
+      max_entry_ttl: longest time that callers may cache their entries.
+      stop_grace: time from the stop signal until the process is killed.
+      config_apply: time within which an accepted change must be in force.
     """
 
     retry_ratio: float = 0.1
@@ -191,11 +192,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NodeSettings:
-    """What a node is told about itself.
+    """Settings of one node.
 
     Attributes:
-      seeds: hosts of some nodes, which may be out of date.
-      capacity: processor time that it may use, in thousandths of a core.
+      seeds: hosts of some nodes, possibly outdated.
+      capacity: CPU time that it may use, in millicores.
       control_address: where metrics are served.
       regions: dict from failure domain to region.
       peer_ports: first and last port for traffic between nodes.
--- a/wigeonrouter/topology/_region.py
+++ b/wigeonrouter/topology/_region.py
@@ -1,8 +1,8 @@
-"""Who reads the store for a region, and which nodes serve which service.
+"""Selects the hub of a region and the home nodes of services.
 
-One node of each region, the hub, reads the store and passes changes on to
-the others, which follow it. All functions are pure; every node comes to the
-same result from the same roster.
+The hub is the one node of each region that reads the store; it passes changes
+on to the other nodes, its followers. All functions are pure, so every node
+gets the same result from the same roster.
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 
 
 class RoleKind(enum.Enum):
-    """What a node does for its region."""
+    """The role of a node in its region."""
 
     UNDECIDED = "undecided"
     HUB = "hub"
@@ -21,11 +21,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Role:
-    """A node's role as it states it.
+    """The role that a node reports for itself.
 
     Attributes:
-      hub: host of the hub, empty where undecided.
-      store_answers: whether the store answers the hub.
+      hub: host of the hub, empty if undecided.
+      store_reachable: whether the store responds to the hub.
     """
 
     kind: RoleKind
@@ -38,9 +38,9 @@
     """A node of the own region.
 
     Attributes:
-      host: IP number, which names it.
-      ready: whether callers may be sent there.
-      capacity: processor time that it may use, in thousandths of a core.
+      host: IP address, which identifies it.
+      ready: whether it accepts callers.
+      capacity: CPU time that it may use, in millicores.
     """
 
     host: str
@@ -51,7 +51,7 @@
 
 
 class HubAction(enum.Enum):
-    """What a node does next about its hub."""
+    """The next action of a node concerning its hub."""
 
     FOLLOW = "follow"
     BECOME_HUB = "become-hub"
@@ -60,46 +60,46 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Decision:
-    """A verdict, with the host of the hub to follow."""
+    """An action, with the host of the hub to follow."""
 
     action: HubAction
     hub: str = ""
 
 
 def candidate_order(region, hosts):
-    """Order the hosts of a region for the role of the hub."""
+    """Return the hosts of a region in order of preference for the hub."""
     return core.rendezvous_order(f"hub of {region}", hosts)
 
 
 def decide_role(*, own_host, order, roles, excluded_hosts, reaches_store):
-    """Decide whom to follow.
+    """Decide which hub to follow, or whether to become the hub.
 
-    A hub that exists is kept, so that a returning node does not take the
-    role away. Where there is none, the first node in order that lives
-    becomes the hub; the others wait for it.
+    An existing hub is kept, so that a returning node does not replace it. If
+    there is none, the first alive node in order becomes the hub, and the
+    others wait for it.
 
     Args:
-      own: own host.
+      own_host: host of this node.
       order: candidate_order() of the region.
-      answers: dict from host to its Role, of those that answered.
-      avoided: hosts that must not be followed now.
-      reaches_store: whether this node reaches the store itself; if not, a
-        hub that does not is as good as any.
+      roles: dict from host to its Role, for the hosts that responded.
+      excluded_hosts: hosts that must not be followed now.
+      reaches_store: whether this node reaches the store itself. If not, a hub
+        that does not reach it either is accepted.
     Returns:
       Decision.
     """
-    hubs, named = set(), set()
+    hubs, followed = set(), set()
     for host, role in roles.items():
         if reaches_store and not role.store_reachable:
             continue
         if role.kind is RoleKind.HUB:
             hubs.add(host)
         elif role.kind is RoleKind.FOLLOWER:
-            named.add(role.hub)
-    for found in (hubs, named):
+            followed.add(role.hub)
+    for candidates in (hubs, followed):
         for host in order:
             if (
-                host in found
+                host in candidates
                 and host != own_host
                 and host not in excluded_hosts
             ):
@@ -115,10 +115,14 @@
 
 
 def should_step_down(*, own_host, order, roles):
-    """Return whether a hub makes room for another one.
+    """Return whether a hub must give way to another hub.
 
-    Two hubs may exist after nodes lost each other. The one that comes first
-    in order stays.
+    Two hubs may exist after a network partition. The first one in order stays.
+
+    Args:
+      own_host: host of this node, a hub.
+      order: candidate_order() of the region.
+      roles: dict from host to its Role, for the hosts that responded.
     """
     position = {host: index for index, host in enumerate(order)}
     last = len(order)
@@ -134,20 +138,26 @@
 
 
 def home_nodes(*, service, peers, count):
-    """Return the peers that serve a service's callers, the first one first.
+    """Return the home nodes of a service, the first one first.
 
-    Only peers of the largest capacity are taken, so that the machines that
-    serve most are not the weakest.
+    Only nodes with more than half of the largest capacity are considered, so
+    that most requests do not go to the smallest machines.
 
     Args:
       service: name of the service.
       peers: iterable of Peer of one region.
-      count: number of homes.
+      count: number of home nodes.
+    Returns:
+      A tuple of Peer, empty if none is ready.
     """
     ready = {peer.host: peer for peer in peers if peer.ready}
     if not ready:
         return ()
-    most = max(peer.capacity for peer in ready.values())
-    strong = [host for host, peer in ready.items() if 2 * peer.capacity > most]
-    order = core.rendezvous_order(f"home of {service}", strong)
+    max_capacity = max(peer.capacity for peer in ready.values())
+    large_hosts = [
+        host
+        for host, peer in ready.items()
+        if 2 * peer.capacity > max_capacity
+    ]
+    order = core.rendezvous_order(f"home of {service}", large_hosts)
     return tuple(ready[host] for host in order[:count])
--- a/wigeonrouter/topology/_region_test.py
+++ b/wigeonrouter/topology/_region_test.py
@@ -1,4 +1,4 @@
-"""Tests of the choice of the hub and of homes."""
+"""Tests of the selection of the hub and of home nodes."""
 
 import pytest
 
@@ -24,30 +24,30 @@
 
 
 def test_existing_hub_is_kept():
-    """Guards against a returning node that takes the role away."""
+    """Guards against a returning node that takes over the role of the hub."""
     decision = decide("a", {"c": role(Kind.HUB, "c")})
     assert (decision.action, decision.hub) == (HubAction.FOLLOW, "c")
 
 
 def test_hub_is_found_through_its_followers():
-    """Guards against a second hub where the first was not asked."""
+    """Guards against a second hub if the first one was not queried."""
     decision = decide("a", {"b": role(Kind.FOLLOWER, "c")})
     assert (decision.action, decision.hub) == (HubAction.FOLLOW, "c")
 
 
-def test_first_living_node_becomes_the_hub():
-    """Guards against a region without a hub, and with several."""
+def test_first_alive_node_becomes_the_hub():
+    """Guards against a region without a hub, or with several."""
     roles = {"a": role(Kind.UNDECIDED), "c": role(Kind.UNDECIDED)}
     assert decide("b", roles).action is HubAction.WAIT
     roles = {"c": role(Kind.UNDECIDED)}
     assert decide("b", roles).action is HubAction.BECOME_HUB
 
 
-def test_followers_of_a_cut_hub_are_not_waited_for():
+def test_followers_of_a_hub_without_store_are_not_waited_for():
     """Guards against a node without a hub for seconds.
 
-    Replays a hub and a follower that are cut off from the store, while this
-    node reaches it: it waited for the follower, which stayed.
+    A hub and its follower were cut off from the store while this node reached
+    it. The node waited for the follower, which kept its role.
     """
     roles = {
         "a": role(Kind.FOLLOWER, "c", store_reachable=False),
@@ -57,14 +57,14 @@
     assert decision.action is HubAction.BECOME_HUB
 
 
-def test_any_hub_serves_while_the_store_is_down():
-    """Guards against a region that falls apart with the store."""
+def test_any_hub_is_accepted_while_the_store_is_down():
+    """Guards against a region that splits when the store is unavailable."""
     roles = {"c": role(Kind.HUB, "c", store_reachable=False)}
     decision = decide("a", roles, reaches_store=False)
     assert (decision.action, decision.hub) == (HubAction.FOLLOW, "c")
 
 
-def test_failed_hub_is_avoided():
+def test_failed_hub_is_not_followed():
     """Guards against following a hub that has just failed."""
     roles = {"c": role(Kind.FOLLOWER, "a")}
     decision = decide("b", roles, excluded_hosts=["a"])
@@ -76,7 +76,7 @@
     [("b", "a", True), ("a", "b", False), ("b", "c", False)],
 )
 def test_of_two_hubs_the_first_in_order_stays(own_host, other, expected):
-    """Guards against two hubs for ever, and against none."""
+    """Guards against two hubs that both stay, or both step down."""
     roles = {other: role(Kind.HUB, other)}
     assert (
         topology.should_step_down(own_host=own_host, order=ORDER, roles=roles)
@@ -94,8 +94,8 @@
     )
 
 
-def test_homes_are_ready_and_strong():
-    """Guards against sending a region's callers to the weakest machine."""
+def test_homes_are_ready_and_of_large_capacity():
+    """Guards against sending a region's callers to its smallest machine."""
     peers = [
         peer("a", ready=False),
         peer("b", capacity=430),
@@ -107,14 +107,14 @@
         assert {home.host for home in found} == {"c", "d"}
 
 
-def test_homes_move_only_with_their_node():
-    """Guards against moving all callers when one node goes."""
+def test_homes_change_only_when_their_node_fails():
+    """Guards against moving all callers when another node fails."""
     peers = [peer(host) for host in "abcdef"]
     for service in ("x", "y", "z"):
         (home,) = topology.home_nodes(service=service, peers=peers, count=1)
         others = [p for p in peers if p.host != home.host]
-        for gone in others:
-            rest = [p for p in peers if p != gone]
+        for failed in others:
+            rest = [p for p in peers if p != failed]
             assert topology.home_nodes(
                 service=service, peers=rest, count=1
             ) == (home,)
--- a/wigeonrouter/topology/_routing.py
+++ b/wigeonrouter/topology/_routing.py
@@ -1,17 +1,17 @@
-"""Finds the route of a request and the service that one request goes to."""
+"""Finds the route of a request and selects its service."""
 
 import bisect
 
 
 class RouteTable:
-    """Routes by host; the longest prefix of a path wins."""
+    """Routes by host and path; the longest matching prefix wins."""
 
     def __init__(self, routes):
         """Index an iterable of topology.Route."""
         self._by_host = {}
         for route in routes:
             self._by_host.setdefault(route.host, {})[route.prefix] = route
-        self._lengths = {
+        self._prefix_lengths = {
             host: sorted({len(prefix) for prefix in table}, reverse=True)
             for host, table in self._by_host.items()
         }
@@ -21,14 +21,14 @@
         table = self._by_host.get(host)
         if table is None:
             return None
-        for length in self._lengths[host]:
+        for length in self._prefix_lengths[host]:
             route = table.get(path[:length])
             if route is not None:
                 return route
         return None
 
     def services_of(self, host):
-        """Return the services of a host's routes, heaviest first."""
+        """Return the services of a host's routes, by descending weight."""
         weights = {}
         for route in self._by_host.get(host, {}).values():
             for share in route.shares:
@@ -39,24 +39,27 @@
 
 
 class TrafficSplitter:
-    """Divides each route's requests by weight.
+    """Splits the requests of each route between services by weight.
 
-    Each node draws at random. With a fixed rotation, nodes that see few
-    requests would all start with the same service.
+    Each node selects at random. In a fixed rotation, nodes with few requests
+    would all start with the same service.
+
+    Args:
+      rng: random.Random.
     """
 
     def __init__(self, *, rng):
         self._rng = rng
 
     def choose(self, route):
-        """Return the name of the service that gets the next request."""
+        """Return the name of the service for the next request of a route."""
         shares = route.shares
         if len(shares) == 1:
             return shares[0].service
-        edges = []
+        cumulative_weights = []
         total = 0
         for share in shares:
             total += share.weight
-            edges.append(total)
-        drawn = self._rng.randrange(total)
-        return shares[bisect.bisect_right(edges, drawn)].service
+            cumulative_weights.append(total)
+        point = self._rng.randrange(total)
+        return shares[bisect.bisect_right(cumulative_weights, point)].service
--- a/wigeonrouter/topology/_routing_test.py
+++ b/wigeonrouter/topology/_routing_test.py
@@ -1,4 +1,4 @@
-"""Tests of routes and of the division by weight."""
+"""Tests of route lookup and of traffic splitting by weight."""
 
 import collections
 import random
@@ -24,7 +24,7 @@
 
 
 def test_longest_prefix_of_the_host_wins():
-    """Guards against a request on another route's service."""
+    """Guards against a request sent to the service of another route."""
     table = topology.RouteTable(
         [route("/a/"), route("/a/b/"), route("/a/b/c/", host="other")]
     )
@@ -34,8 +34,8 @@
     assert table.find(host="unknown", path="/a/") is None
 
 
-def test_weights_divide_requests():
-    """Guards against shares that miss their weights."""
+def test_requests_are_split_by_weight():
+    """Guards against shares that deviate from their weights."""
     split = route("/a/", shares=(("alpha", 90), ("beta", 10), ("gamma", 0)))
     splitter = topology.TrafficSplitter(rng=random.Random(4))
     counts = collections.Counter(splitter.choose(split) for _ in range(4000))
@@ -43,8 +43,8 @@
     assert not counts["gamma"]
 
 
-def test_home_service_of_a_host_is_its_heaviest():
-    """Guards against directing callers to a minor service's home."""
+def test_services_of_a_host_are_ordered_by_weight():
+    """Guards against directing callers to the home of a minor service."""
     table = topology.RouteTable(
         [route("/a/", shares=(("minor", 1), ("major", 9)))]
     )
