--- a/wigeonrouter/administration/_access_test.py
+++ b/wigeonrouter/administration/_access_test.py
@@ -65,9 +65,7 @@
     derandomize=True,
     suppress_health_check=[HealthCheck.function_scoped_fixture],
 )
-def test_no_change_reaches_beyond_the_rights_of_its_token(
-    client, token, changes
-):
+def test_no_change_exceeds_the_rights_of_its_token(client, token, changes):
     before = _nodes(client.daemon.replica.snapshot().root)
     response = client.send(
         "POST", "/v1/config/changes", token=token, body={"changes": changes}
--- a/wigeonrouter/administration/_app_test.py
+++ b/wigeonrouter/administration/_app_test.py
@@ -101,7 +101,7 @@
     assert administration.hash_token("a-operator") in reply.text
 
 
-def test_a_node_that_was_read_and_sent_back_changes_nothing(client):
+def test_writing_back_an_unmodified_node_changes_nothing(client):
     shown = client.send("GET", "/v1/config", token="a-operator", path="/a")
     differences = client.send(
         "POST",
--- a/wigeonrouter/administration/_registry_test.py
+++ b/wigeonrouter/administration/_registry_test.py
@@ -19,7 +19,7 @@
         ({"Content-Length": "2"}, b"\xff\xfe", "invalid-document"),
     ],
 )
-def test_bodies_are_bounded(client, headers, body, name):
+def test_invalid_bodies_are_rejected(client, headers, body, name):
     headers["Authorization"] = "Bearer root"
     response = client.simulate_put(
         "/v1/config", params={"change_id": "x"}, headers=headers, body=body
@@ -82,7 +82,7 @@
     derandomize=True,
     suppress_health_check=[HealthCheck.function_scoped_fixture],
 )
-def test_any_input_gets_a_reply_or_a_typed_error(
+def test_any_input_gets_a_response_or_a_documented_problem(
     client, method, target, token, params, body
 ):
     response = client.simulate_request(
--- a/wigeonrouter/observability/_logs_test.py
+++ b/wigeonrouter/observability/_logs_test.py
@@ -52,7 +52,7 @@
         yield request_log, now, lines
 
 
-def test_successes_do_not_hide_refusals(log):
+def test_successes_do_not_suppress_rejections(log):
     """Guards against successes that use up the limit.
 
     Rejected requests would then be missing from the log.
