--- a/wigeonrouter/keys/__init__.py
+++ b/wigeonrouter/keys/__init__.py
@@ -1,7 +1,7 @@
-"""Authorities and daemon certificates for tests and small deployments.
+"""Creates a certificate authority (CA) and daemon certificates.
 
-Needs the package cryptography, which is a development requirement only:
-daemons themselves read PEM files from any authority.
+For tests and small deployments. Needs the package cryptography, which is a
+development requirement only: daemons read PEM files from any CA.
 """
 
 from wigeonrouter.keys import _authority
--- a/wigeonrouter/keys/main.py
+++ b/wigeonrouter/keys/main.py
@@ -1,9 +1,9 @@
 """The command wigeonrouter-keys.
 
 For tests and small deployments. It needs the package cryptography, which is
-a development requirement only. A larger deployment takes certificates from
-its own authority: the common name is the daemon id, and the IP address of
-peer_address is a subject alternative name.
+a development requirement only. A larger deployment uses certificates of its
+own CA, with the daemon id as common name and the IP address of peer_address
+as subject alternative name.
 """
 
 import sys
@@ -17,16 +17,20 @@
 
 @click.group()
 def main():
-    """Make an authority and daemon certificates for peer_tls."""
+    """Create a certificate authority and daemon certificates for peer_tls."""
 
 
 @main.command()
 @click.option("--directory", default=".", show_default=True)
 @click.option("--name", default="authority", show_default=True)
-@click.option("--days", default=_authority.AUTHORITY_DAYS, show_default=True)
+@click.option(
+    "--days",
+    default=_authority.DEFAULT_AUTHORITY_VALIDITY_DAYS,
+    show_default=True,
+)
 def authority(directory, name, days):
-    """Make an authority; keep its key away from the daemons."""
-    _run(
+    """Create an authority; do not copy its key to the daemons."""
+    _run_and_print_paths(
         _authority.create_authority, directory=directory, name=name, days=days
     )
 
@@ -36,10 +40,14 @@
 @click.option("--address", "addresses", multiple=True, required=True)
 @click.option("--directory", default=".", show_default=True)
 @click.option("--authority", "signer", default="authority", show_default=True)
-@click.option("--days", default=_authority.DAEMON_DAYS, show_default=True)
+@click.option(
+    "--days",
+    default=_authority.DEFAULT_DAEMON_VALIDITY_DAYS,
+    show_default=True,
+)
 def daemon(daemon_id, addresses, directory, signer, days):
-    """Make the certificate of DAEMON_ID for its IP addresses."""
-    _run(
+    """Create the certificate of DAEMON_ID for its IP addresses."""
+    _run_and_print_paths(
         _authority.create_daemon_certificate,
         directory=directory,
         daemon_id=daemon_id,
@@ -49,13 +57,13 @@
     )
 
 
-def _run(function, **arguments):
+def _run_and_print_paths(function, **arguments):
     try:
-        written = function(**arguments)
+        paths = function(**arguments)
     except (OSError, ValueError) as error:
         click.echo(f"wigeonrouter-keys: {error}", err=True)
         sys.exit(EXIT_FAILED)
-    for name in (written,) if isinstance(written, str) else written:
+    for name in (paths,) if isinstance(paths, str) else paths:
         click.echo(name)
 
 
