--- a/wigeonrouter/daemon/_daemon.py
+++ b/wigeonrouter/daemon/_daemon.py
@@ -92,7 +92,7 @@
             seeds=settings.seeds,
             replica=self._replica,
             rng=self._rng,
-            claims=self._handle_claim,
+            claim_handler=self._handle_claim,
             tls=self._tls,
         )
         self._replication = membership.Replication(
