--- a/wigeonrouter/topology/__init__.py
+++ b/wigeonrouter/topology/__init__.py
@@ -1,4 +1,4 @@
-"""What a node knows of its deployment: routes, backend servers, itself."""
+"""What a node knows of its deployment: routes, servers and nodes."""
 
 from wigeonrouter.topology import _directory
 from wigeonrouter.topology import _records
@@ -10,7 +10,7 @@
 Configuration = _records.Configuration
 ConfigurationRejected = _records.ConfigurationRejected
 ConfigurationWritten = _records.ConfigurationWritten
-Known = _directory.Known
+KnownServer = _directory.KnownServer
 NodeRemoved = _records.NodeRemoved
 NodeSettings = _records.NodeSettings
 NodeWritten = _records.NodeWritten
@@ -24,14 +24,14 @@
 Route = _records.Route
 ServerDirectory = _directory.ServerDirectory
 ServiceSettings = _records.ServiceSettings
-Share = _records.Share
+TrafficShare = _records.TrafficShare
 StoreContent = _records.StoreContent
-Splitter = _routing.Splitter
+TrafficSplitter = _routing.TrafficSplitter
 RouteTable = _routing.RouteTable
-WaitLearned = _records.WaitLearned
-Verdict = _region.Verdict
+CallerTimeoutLearned = _records.CallerTimeoutLearned
+HubAction = _region.HubAction
 
 candidate_order = _region.candidate_order
 decide_role = _region.decide_role
-homes = _region.homes
-steps_down = _region.steps_down
+home_nodes = _region.home_nodes
+should_step_down = _region.should_step_down
