--- a/wigeonrouter/dispatch/_dispatcher.py
+++ b/wigeonrouter/dispatch/_dispatcher.py
@@ -51,7 +51,7 @@
         clock=time.monotonic,
         call_later=gevent.spawn_later,
         slot_share=(0, 1),
-        announce=lambda address, leaving: None,
+        announce=lambda address, draining: None,
     ):
         self._place = place
         self._rng = rng
@@ -225,8 +225,8 @@
             now=self._clock(),
         )
         local = view.server.place.region == self._place.region
-        answered = attempt.outcome is core.Outcome.OK
-        if local and answered and not attempt.cancelled:
+        succeeded = attempt.outcome is core.Outcome.OK
+        if local and succeeded and not attempt.cancelled:
             self._hold_time = limits.update_hold_time(
                 self._hold_time, attempt.latency
             )
@@ -268,9 +268,9 @@
             self._dispatch_queued()
 
     def _announce_change(self, previous, after):
-        leaving = after.state is core.ServerState.DRAINING
-        if leaving != (previous.state is core.ServerState.DRAINING):
-            self._announce(after.server.address, leaving)
+        is_draining = after.state is core.ServerState.DRAINING
+        if is_draining != (previous.state is core.ServerState.DRAINING):
+            self._announce(after.server.address, is_draining)
 
     def _release_unused(self, grant):
         self.release(
--- a/wigeonrouter/placement/_choice.py
+++ b/wigeonrouter/placement/_choice.py
@@ -1,11 +1,11 @@
 """Selects the backend server of a request, or waits for a better one.
 
-Load pattern: servers have few slots, a quarter of them is several times slower
-at any moment, and a response within the target time has ten times the utility
-of a late one. A request is sent where the probability of a response within the
-target time is highest. It waits at the node while a suitable server may still
-be released, and a late request leaves capacity for those that can meet their
-target time.
+Load pattern: servers have few slots, a quarter of the servers is several times
+slower at any moment, and a response within the target time has ten times the
+utility of a late one. A request is sent where the probability of a response
+within the target time is highest. It waits at the node while a slot of a
+suitable server may still be released, and a late request leaves capacity for
+those that can meet their target time.
 
 Utility is a share of the utility of a response within the target time.
 """
@@ -37,8 +37,8 @@
 _WAIT_UTILITY_MARGIN = 0.2
 # Servers with older load reports are probed again before a selection.
 FRESH_REPORT_S = 0.04
-# Number of servers that are probed before a selection: at a node with at least
-# this rate of requests of the service, and at other nodes.
+# Number of servers that are probed before a selection: by a node with at least
+# _BUSY_RATE_PER_S requests of the service, and by other nodes.
 _BUSY_PROBES = 4
 _IDLE_PROBES = 1
 _BUSY_RATE_PER_S = 2.0
--- a/wigeonrouter/placement/_choice_test.py
+++ b/wigeonrouter/placement/_choice_test.py
@@ -126,10 +126,10 @@
     choose, make_view, make_request, now
 ):
     """Guards against rejecting all requests after every server failed once."""
-    paused = make_view("a", ejected_until=now + 1)
-    assert choose([paused], make_request()).view.instance == "a"
+    ejected = make_view("a", ejected_until=now + 1)
+    assert choose([ejected], make_request()).view.instance == "a"
     others = [make_view("b"), make_view("c")]
-    assert choose([paused, *others], make_request()).view.instance != "a"
+    assert choose([ejected, *others], make_request()).view.instance != "a"
 
 
 def test_excluded_server_is_not_used_again(choose, make_view, make_request):
--- a/wigeonrouter/placement/_estimate.py
+++ b/wigeonrouter/placement/_estimate.py
@@ -1,9 +1,9 @@
 """Estimates the response time of a backend server.
 
-Load pattern: noisy neighbours on the hosts of backend servers slow some of the
-servers down several times, and which servers are affected changes several
-times a second. A load report states the current slowdown of a server. As the
-report ages, the estimate moves to the mean slowdown of all servers.
+Load pattern: noisy neighbours on the hosts of backend servers make some of the
+servers several times slower, and which ones are affected changes several times
+a second. A load report states the current slowdown of a server. As the report
+ages, the estimate moves to the mean slowdown of all servers.
 
 A slowdown is a factor: the current service time divided by the service time on
 an undisturbed server.
@@ -20,7 +20,8 @@
 NEARLY_FULL_SLOWDOWN = 1.7
 # Share of the slots in use above which a server is nearly full.
 NEARLY_FULL_SHARE = 0.8
-# Decayed load of other nodes below this number of requests counts as none.
+# Load of other nodes that has decayed below this number of requests has
+# probably completed and is ignored.
 _NEGLIGIBLE_FOREIGN_LOAD = 0.2
 # Slowdown of a server in its slow start.
 SLOW_START_SLOWDOWN = 2.0
@@ -124,8 +125,8 @@
     busy_time = service_time * expected_slowdown(view, now, mean_slowdown)
     if is_nearly_full(load, view.slots):
         busy_time *= NEARLY_FULL_SLOWDOWN
-    ahead = max(0.0, load + 1 - view.slots)
-    return view.round_trip + busy_time * (1.0 + ahead / view.slots)
+    queued_ahead = max(0.0, load + 1 - view.slots)
+    return view.round_trip + busy_time * (1.0 + queued_ahead / view.slots)
 
 
 def undisturbed_service_time(*, latency, round_trip, slowdown, nearly_full):
--- a/wigeonrouter/placement/_health.py
+++ b/wigeonrouter/placement/_health.py
@@ -10,6 +10,7 @@
 import enum
 import math
 
+# Weight of an attempt in the moving average of failures.
 _FAILURE_WEIGHT = 0.3
 # Time constant of the exponential decay of the failure ratio.
 _FAILURE_RATIO_DECAY_S = 3.0
@@ -18,6 +19,7 @@
 # and would attract requests.
 _FAILURES_TO_EJECT = 2
 _FIRST_EJECTION_S = 0.5
+# First ejection after missing responses.
 _FIRST_BACKOFF_S = 0.25
 _MAX_BACKOFF_S = 4.0
 # Lower bound of the failure ratio after a failed health check.
@@ -54,7 +56,8 @@
 def after_attempt(view, *, outcome, now):
     """Return the view after an attempt.
 
-    An attempt that was cancelled or timed out says nothing about the server.
+    An attempt that was cancelled or timed out says nothing about the server. A
+    rejection only shows that the server responds.
 
     Args:
       view: ServerView.
@@ -66,7 +69,7 @@
     if outcome is AttemptOutcome.UNREACHABLE:
         return after_no_response(view, now=now)
     failed = outcome in (AttemptOutcome.FAILED, AttemptOutcome.RESPONSE_LOST)
-    before = current_failure_ratio(view, now)
+    previous_ratio = current_failure_ratio(view, now)
     if outcome is AttemptOutcome.REJECTED:
         return dataclasses.replace(view, consecutive_no_response=0)
     consecutive_failures = view.consecutive_failures + 1 if failed else 0
@@ -79,7 +82,8 @@
         )
     return dataclasses.replace(
         view,
-        failure_ratio=before + _FAILURE_WEIGHT * (float(failed) - before),
+        failure_ratio=previous_ratio
+        + _FAILURE_WEIGHT * (float(failed) - previous_ratio),
         failure_ratio_at=now,
         consecutive_failures=consecutive_failures,
         consecutive_no_response=0,
--- a/wigeonrouter/placement/_queueing.py
+++ b/wigeonrouter/placement/_queueing.py
@@ -42,7 +42,8 @@
 def rank(request, *, service_time, now):
     """Return the sort key of a queued request; the smallest is served first.
 
-    Late requests come after all others, those with the nearest deadline first.
+    Late requests come after all others. Both groups are ordered by priority,
+    then by target time, or by deadline for late requests.
     """
     if is_late(request, service_time=service_time, now=now):
         return (1, request.priority, request.deadline)
