--- a/wigeonrouter/soak/__init__.py
+++ b/wigeonrouter/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Runs real nodes as processes, disturbs them, and checks the promises."""
+"""Soak test: runs node processes, injects faults and checks invariants."""
--- a/wigeonrouter/soak/_callers.py
+++ b/wigeonrouter/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers that ask for an entry, keep connections and note what they get."""
+"""Callers that look up entries, keep connections and record outcomes."""
 
 import itertools
 import time
@@ -10,39 +10,48 @@
 from wigeonrouter.platform import testing
 from wigeonrouter.soak import _records
 
-_PATIENCE_S = 3.0
+_CALLER_TIMEOUT_S = 3.0
 _ENTRY_TIMEOUT_S = 1.0
 _CONNECT_TIMEOUT_S = 1.0
-_MEAN_PAUSE_S = 0.12
-_LEAVE_SHARE = 0.06
-_LEAVE_AFTER_S = (0.01, 0.08)
-_NEW_CONNECTION_SHARE = 0.15
-# Some callers keep an answer three times as long as they may.
-_LONG_KEEP_SHARE = 0.2
-_LONG_KEEP = 3.0
-_RETRY_PAUSE_S = 0.1
+_MEAN_REQUEST_INTERVAL_S = 0.12
+_DISCONNECT_PROBABILITY = 0.06
+_DISCONNECT_AFTER_S = (0.01, 0.08)
+_RECONNECT_PROBABILITY = 0.15
+# Some callers use an entry response beyond its lifetime: three times as long
+# as they may.
+_EXPIRED_USE_PROBABILITY = 0.2
+_EXPIRED_USE_FACTOR = 3.0
+_RECONNECT_DELAY_S = 0.1
 _RECEIVE_BYTES = 65536
 
 
 class Connection:
-    """One connection to a node."""
+    """One persistent HTTP connection to a node."""
 
     def __init__(self, *, node, address):
-        """Connect to a pair of host and port; raises OSError."""
+        """Connect to an address, a pair of host and port.
+
+        Raises:
+          OSError: the connection attempt failed.
+        """
         self.node = node
         self._sock = socket.create_connection(
             address, timeout=_CONNECT_TIMEOUT_S
         )
         self._sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def exchange(self, data, *, method, patience):
-        """Send a request and return its Reply.
+    def exchange(self, data, *, method, response_timeout):
+        """Send a request and return its CallerResponse.
+
+        Args:
+          response_timeout: seconds until the complete response is due.
 
         Raises:
-          OSError, http1.MalformedMessage: there was no whole answer.
-          TimeoutError: there was none in time.
+          OSError, http1.MalformedMessage: the connection failed or the
+            response was incomplete or malformed.
+          TimeoutError: there was no complete response in time.
         """
-        with gevent.Timeout(patience, TimeoutError()):
+        with gevent.Timeout(response_timeout, TimeoutError()):
             self._sock.sendall(data)
             return testing.read_response(self._receive, method=method)
 
@@ -55,27 +64,39 @@
 
 
 class Sender:
-    """Sends requests and records how they ended.
+    """Sends requests and records their outcomes.
 
     Args:
-      routes: function that returns the topology.Routes that may be used.
-      seen: Observations.
+      routes: function that returns the topology.Routes to choose from.
+      observations: Observations.
     """
 
-    def __init__(self, *, routes, seen, rng):
+    def __init__(self, *, routes, observations, rng):
         self._routes = routes
-        self._seen = seen
+        self._observations = observations
         self._rng = rng
-        self._numbers = itertools.count(1)
+        self._request_numbers = itertools.count(1)
 
-    def send(self, connection, *, leave_after=None):
-        """Send a request of a random kind; return whether to go on."""
+    def send(self, connection, *, disconnect_after=None):
+        """Send a request for a random route.
+
+        Args:
+          disconnect_after: seconds after which the caller disconnects, None
+            to wait for the response.
+
+        Returns:
+          Whether the connection can be used for further requests.
+        """
         route = self._rng.choice(self._routes())
-        reply = self._send(connection, route, leave_after)
-        return reply is not None and not reply.closes
+        response = self._send(connection, route, disconnect_after)
+        return response is not None and not response.closes
 
-    def ask(self, node, route):
-        """Send one request past the link of a node; return its Reply."""
+    def send_directly(self, node, route):
+        """Send one request to a node on a new connection, without its proxy.
+
+        Returns:
+          CallerResponse, or None without a complete response.
+        """
         address = node.settings.caller_address
         try:
             connection = Connection(
@@ -88,8 +109,8 @@
         finally:
             connection.close()
 
-    def _send(self, connection, route, leave_after):
-        request_id = f"r{next(self._numbers):07d}"
+    def _send(self, connection, route, disconnect_after):
+        request_id = f"r{next(self._request_numbers):07d}"
         target = f"{route.prefix}{request_id}"
         method = "GET" if route.idempotent else "POST"
         data = testing.render_request(
@@ -97,19 +118,25 @@
             target=target,
             host=route.host,
             request_id=request_id,
-            remaining=_PATIENCE_S,
+            remaining=_CALLER_TIMEOUT_S,
             body=b"" if route.idempotent else b"x" * 300,
         )
         sent = time.monotonic()
-        reply, end = None, _records.End.LEFT
+        response, end = None, _records.End.LEFT
         try:
-            reply, end = self._exchange(connection, data, method, leave_after)
+            response, end = self._exchange(
+                connection, data, method, disconnect_after
+            )
         finally:
-            self._note(connection, route, request_id, target, sent, reply, end)
-        return reply
+            self._record_request(
+                connection, route, request_id, target, sent, response, end
+            )
+        return response
 
-    def _note(self, connection, route, request_id, target, sent, reply, end):
-        self._seen.requests.append(
+    def _record_request(
+        self, connection, route, request_id, target, sent, response, end
+    ):
+        self._observations.requests.append(
             _records.Request(
                 request_id=request_id,
                 node=connection.node.name,
@@ -118,31 +145,31 @@
                 target=target,
                 sent=sent,
                 ended=time.monotonic(),
-                patience=_PATIENCE_S,
+                patience=_CALLER_TIMEOUT_S,
                 timeout=route.timeout,
                 end=end,
-                reply=reply,
+                reply=response,
             )
         )
 
-    def _exchange(self, connection, data, method, leave_after):
+    def _exchange(self, connection, data, method, disconnect_after):
         try:
-            reply = connection.exchange(
+            response = connection.exchange(
                 data,
                 method=method.encode(),
-                patience=leave_after or _PATIENCE_S,
+                response_timeout=disconnect_after or _CALLER_TIMEOUT_S,
             )
         except TimeoutError:
-            if leave_after:
+            if disconnect_after:
                 return None, _records.End.LEFT
             return None, _records.End.TIMEOUT
         except (OSError, http1.MalformedMessage):
             return None, _records.End.BROKEN
-        return reply, _records.End.ANSWERED
+        return response, _records.End.ANSWERED
 
 
 class Caller:
-    """One caller: asks for an entry, then sends requests to it.
+    """One caller: looks up entries, then sends requests to them.
 
     Args:
       fleet: Fleet.
@@ -157,55 +184,55 @@
         self._sender = sender
         self._rng = rng
         self._entries = ()
-        self._until = 0.0
-        self._failed = set()
+        self._refresh_at = 0.0
+        self._unreachable = set()
 
     def run(self):
-        """Send requests until the task is killed."""
+        """Send requests until the greenlet is killed."""
         connection = None
         while True:
-            gevent.sleep(self._rng.expovariate(1 / _MEAN_PAUSE_S))
-            self._refresh()
-            if connection is not None and self._drops(connection):
+            gevent.sleep(self._rng.expovariate(1 / _MEAN_REQUEST_INTERVAL_S))
+            self._refresh_entries()
+            if connection is not None and self._should_reconnect(connection):
                 connection.close()
                 connection = None
             if connection is None:
                 connection = self._connect()
             if connection is None:
-                gevent.sleep(_RETRY_PAUSE_S)
+                gevent.sleep(_RECONNECT_DELAY_S)
                 continue
             if not self._send(connection):
                 connection.close()
                 connection = None
 
     def _send(self, connection):
-        leave_after = None
-        if self._rng.random() < _LEAVE_SHARE:
-            leave_after = self._rng.uniform(*_LEAVE_AFTER_S)
-        return self._sender.send(connection, leave_after=leave_after)
+        disconnect_after = None
+        if self._rng.random() < _DISCONNECT_PROBABILITY:
+            disconnect_after = self._rng.uniform(*_DISCONNECT_AFTER_S)
+        return self._sender.send(connection, disconnect_after=disconnect_after)
 
-    def _drops(self, connection):
+    def _should_reconnect(self, connection):
         return (
-            self._rng.random() < _NEW_CONNECTION_SHARE
+            self._rng.random() < _RECONNECT_PROBABILITY
             or connection.node.settings.caller_address not in self._entries
         )
 
     def _connect(self):
-        addresses = [a for a in self._entries if a not in self._failed]
+        addresses = [a for a in self._entries if a not in self._unreachable]
         if not addresses:
-            self._failed.clear()
-            self._until = 0.0
+            self._unreachable.clear()
+            self._refresh_at = 0.0
             return None
         address = self._rng.choice(addresses)
-        node = self._fleet.by_caller_address(address)
+        node = self._fleet.find_by_caller_address(address)
         try:
-            return Connection(node=node, address=node.caller_link.address)
+            return Connection(node=node, address=node.caller_proxy.address)
         except OSError:
-            self._failed.add(address)
+            self._unreachable.add(address)
             return None
 
-    def _refresh(self):
-        if time.monotonic() < self._until:
+    def _refresh_entries(self):
+        if time.monotonic() < self._refresh_at:
             return
         nodes = [
             node
@@ -213,18 +240,23 @@
             if node.settings.place.region == self._place.region
         ]
         for node in self._rng.sample(nodes, min(3, len(nodes))):
-            found = ask_entries(node, host=self._host, place=self._place)
+            found = query_entries(node, host=self._host, place=self._place)
             if found is None:
                 continue
             self._entries, lifetime = found
-            if self._rng.random() < _LONG_KEEP_SHARE:
-                lifetime *= _LONG_KEEP
-            self._until = time.monotonic() + lifetime
+            if self._rng.random() < _EXPIRED_USE_PROBABILITY:
+                lifetime *= _EXPIRED_USE_FACTOR
+            self._refresh_at = time.monotonic() + lifetime
             return
 
 
-def ask_entries(node, *, host, place):
-    """Return (addresses, lifetime in seconds) from a node, or None."""
+def query_entries(node, *, host, place):
+    """Query a node for the entries of a host name.
+
+    Returns:
+      A pair of addresses and lifetime in seconds, or None if the node gave no
+      valid response.
+    """
     address = node.settings.directory_address
     try:
         with (
@@ -232,9 +264,9 @@
             socket.create_connection((address.host, address.port)) as sock,
         ):
             sock.sendall(testing.render_entry_query(host=host, place=place))
-            reply = testing.read_response(
+            response = testing.read_response(
                 lambda: sock.recv(_RECEIVE_BYTES), method=b"GET"
             )
-            return testing.read_entries(reply)
+            return testing.read_entries(response)
     except (OSError, ValueError, http1.MalformedMessage):
         return None
--- a/wigeonrouter/soak/_checks.py
+++ b/wigeonrouter/soak/_checks.py
@@ -1,295 +1,391 @@
-"""Checks the promises against what callers and backend servers saw."""
+"""Invariants of a soak run, checked against its Observations.
+
+A check is a generator function of Observations that yields one Violation for
+each violation of its invariant. Most time bounds only hold for nodes that no
+injected fault has affected recently.
+"""
 
 import collections
 import signal
 
 from wigeonrouter.soak import _records
 
-# A node counts as undisturbed when nothing happened to it for this long.
-STABLE_S = 3.0
-DRAIN_S = 2.5
-CONFIG_APPLY_S = 2.5
-STOP_GRACE_S = 6.0
-# Until then a process may not have its signal handlers yet.
-START_S = 1.0
-# Until then the interpreter has not run the program's first line.
+# A node or backend server counts as undisturbed once the last fault that
+# affected it ended this long ago.
+SETTLING_TIME_S = 3.0
+# The next three bounds are written to the settings of the nodes.
+DRAIN_BOUND_S = 2.5
+CONFIG_APPLY_BOUND_S = 2.5
+STOP_GRACE_PERIOD_S = 6.0
+# A process may not have installed its handler for SIGTERM before this age.
+SIGNAL_HANDLER_START_S = 1.0
+# Before this age the interpreter may not have executed the program's first
+# line, so that SIGHUP still ends the process.
 INTERPRETER_START_S = 0.15
+# Retry budget of a service: retries per first attempt. The ratio and the
+# window are written to the settings of the nodes; the slack is the number of
+# retries that the check permits in addition.
 RETRY_RATIO = 0.2
 RETRY_WINDOW_S = 10.0
-RETRY_SLACK = 20
-# An answer is due this long after the route's timeout.
-ANSWER_SLACK_S = 0.5
-# A node goes back to an older configuration only if it does so after this.
+RETRY_SLACK_COUNT = 20
+# A response is due at most this long after the timeout of its route.
+RESPONSE_SLACK_S = 0.5
+# A probe that misses a version counts as a rollback only if it was sent more
+# than this long after a probe that found the version.
 ROLLBACK_SLACK_S = 0.25
-# Idempotent work whose caller has left goes on no longer.
-CANCEL_S = 0.5
-CANCELLED_SHARE = 0.75
-# After all troubles, requests are served again from then on.
-RECOVERY_S = 5.0
-SERVED_SHARE = 0.95
+# An idempotent request is cancelled within this time after its caller has
+# disconnected, in at least this share of the cases.
+CANCELLATION_BOUND_S = 0.5
+MIN_CANCELLED_SHARE = 0.75
+# Recovery time: from this long after the last fault, at least this share of
+# the requests succeeds.
+RECOVERY_TIME_S = 5.0
+MIN_SERVED_SHARE = 0.95
 _CHECKS = []
 
 
 def check(function):
-    """Add a function from Observations to an iterable of Violation."""
+    """Register a function from Observations to an iterable of Violation."""
     _CHECKS.append(function)
     return function
 
 
-def find_violations(seen):
-    """Return the list of Violation in Observations."""
-    return [found for function in _CHECKS for found in function(seen)]
+def find_violations(observations):
+    """Return the list of Violations that all checks find."""
+    return [
+        violation
+        for function in _CHECKS
+        for violation in function(observations)
+    ]
+
 
+def was_undisturbed(
+    observations, name, began, ended, *, count_graceful_stops=True
+):
+    """Return whether no fault affected a node or backend server.
 
-def is_calm(seen, name, began, ended, *, planned=True):
-    """Return whether a node or server was undisturbed for STABLE_S.
+    The period is from SETTLING_TIME_S before began until ended.
 
     Args:
-      planned: whether a planned stop counts as a disturbance.
+      name: name of the node or backend server.
+      count_graceful_stops: whether a stop by SIGTERM counts as a fault.
     """
     return not any(
-        trouble.name in ("", name)
-        and (planned or not trouble.planned)
-        and trouble.began <= ended
-        and began - STABLE_S <= trouble.ended
-        for trouble in seen.troubles
+        period.name in ("", name)
+        and (count_graceful_stops or not period.graceful_stop)
+        and period.began <= ended
+        and began - SETTLING_TIME_S <= period.ended
+        for period in observations.fault_periods
     )
 
 
-def _violation(promise, detail):
-    return _records.Violation(promise=promise, detail=detail)
+def _violation(invariant, detail):
+    return _records.Violation(invariant=invariant, detail=detail)
 
 
-def _runs_by_id(seen):
-    runs = collections.defaultdict(list)
-    for run in seen.runs:
-        runs[run.request_id].append(run)
-    return runs
+def _executions_by_id(observations):
+    executions = collections.defaultdict(list)
+    for execution in observations.executions:
+        executions[execution.request_id].append(execution)
+    return executions
 
 
 @check
-def runs_at_most_once(seen):
-    """A request that is not idempotent runs once at most."""
-    runs = _runs_by_id(seen)
-    for request in seen.requests:
-        found = runs[request.request_id]
+def runs_at_most_once(observations):
+    """A non-idempotent request is executed at most once."""
+    executions = _executions_by_id(observations)
+    for request in observations.requests:
+        found = executions[request.request_id]
         if not request.idempotent and len(found) > 1:
-            yield _violation("runs at most once", f"{request} {found}")
+            yield _violation("executed at most once", f"{request} {found}")
 
 
 @check
-def refusals_are_true(seen):
-    """A refusal that says not run is true."""
-    runs = _runs_by_id(seen)
-    for request in seen.requests:
+def refusals_are_true(observations):
+    """A request was not executed if its response says so.
+
+    Only non-idempotent requests are checked.
+    """
+    executions = _executions_by_id(observations)
+    for request in observations.requests:
         if (
             not request.idempotent
             and request.reply is not None
             and request.reply.promises_not_run
-            and runs[request.request_id]
+            and executions[request.request_id]
         ):
-            yield _violation("refusal is true", str(request))
+            yield _violation("rejected request not executed", str(request))
 
 
 @check
-def answers_are_whole_and_own(seen):
-    """A success is the whole answer of a server that ran this request."""
-    runs = _runs_by_id(seen)
-    for request in seen.requests:
-        reply = request.reply
-        if reply is None or reply.status != 200:
+def answers_are_whole_and_own(observations):
+    """A successful response is complete and belongs to its request.
+
+    It also names a backend server that executed this request.
+    """
+    executions = _executions_by_id(observations)
+    for request in observations.requests:
+        response = request.reply
+        if response is None or response.status != 200:
             continue
-        ran = {run.instance for run in runs[request.request_id]}
+        ran = {
+            execution.instance for execution in executions[request.request_id]
+        }
         if (
-            reply.body != f"body of {request.target}".encode()
-            or reply.request_id != request.request_id
-            or reply.instance not in ran
+            response.body != f"body of {request.target}".encode()
+            or response.request_id != request.request_id
+            or response.instance not in ran
         ):
-            yield _violation("answer is whole and own", str(request))
+            yield _violation("response complete and matching", str(request))
 
 
 @check
-def nothing_unasked_runs(seen):
-    """Servers run only what callers sent, at the path that they named."""
-    targets = {r.request_id: r.target for r in seen.requests}
-    for run in seen.runs:
-        if targets.get(run.request_id, "") != run.target:
-            yield _violation("nothing unasked runs", str(run))
+def nothing_unasked_runs(observations):
+    """Backend servers only execute requests that callers sent.
+
+    The path is the one that the caller sent.
+    """
+    targets = {r.request_id: r.target for r in observations.requests}
+    for execution in observations.executions:
+        if targets.get(execution.request_id, "") != execution.target:
+            yield _violation("only sent requests executed", str(execution))
 
 
 @check
-def requests_run_at_allowed_services(seen):
-    """No server of another service runs a request."""
-    routes = {r.request_id: r.route for r in seen.requests}
-    for run in seen.runs:
-        allowed = seen.allowed.get(routes.get(run.request_id), ())
-        if run.request_id in routes and run.service not in allowed:
-            yield _violation("runs at an allowed service", str(run))
+def requests_run_at_allowed_services(observations):
+    """A request is only executed by a service that its route allowed."""
+    routes = {r.request_id: r.route for r in observations.requests}
+    for execution in observations.executions:
+        allowed_services = observations.allowed_services.get(
+            routes.get(execution.request_id), ()
+        )
+        if (
+            execution.request_id in routes
+            and execution.service not in allowed_services
+        ):
+            yield _violation("executed by an allowed service", str(execution))
 
 
 @check
-def leaving_servers_get_nothing(seen):
-    """A leaving server gets no work after the bound, from calm nodes."""
-    requests = {r.request_id: r for r in seen.requests}
-    for leaving in seen.leaving:
-        bound = leaving.acknowledged + DRAIN_S
-        for run in seen.runs:
-            if run.instance != leaving.instance or run.started <= bound:
+def leaving_servers_get_nothing(observations):
+    """Undisturbed nodes send a draining server nothing after the bound."""
+    requests = {r.request_id: r for r in observations.requests}
+    for drain in observations.drains:
+        bound = drain.acknowledged + DRAIN_BOUND_S
+        for execution in observations.executions:
+            if (
+                execution.instance != drain.instance
+                or execution.started <= bound
+            ):
                 continue
-            request = requests.get(run.request_id)
+            request = requests.get(execution.request_id)
             if request is None:
                 continue
-            began = leaving.acknowledged
-            if is_calm(seen, request.node, began, run.started):
-                yield _violation("drain", f"{leaving} {run} {request}")
+            began = drain.acknowledged
+            if was_undisturbed(
+                observations, request.node, began, execution.started
+            ):
+                yield _violation("drain", f"{drain} {execution} {request}")
 
 
 @check
-def configuration_is_in_force(seen):
-    """A calm node has a version after the bound, and keeps it."""
+def configuration_is_in_force(observations):
+    """Nodes apply a configuration version in time and never roll it back.
+
+    The time bound holds for undisturbed nodes. A version is not rolled back
+    as long as the process lives.
+    """
     has = {}
-    for probe in sorted(seen.probes, key=lambda probe: probe.sent):
+    for probe in sorted(observations.probes, key=lambda probe: probe.sent):
         key = (probe.node, probe.incarnation, probe.version)
         if probe.found:
             has.setdefault(key, probe.sent)
             continue
         if probe.found is None:
             continue
-        due = probe.acknowledged + CONFIG_APPLY_S
-        if probe.sent > due and is_calm(
-            seen, probe.node, probe.acknowledged, probe.sent
+        due = probe.acknowledged + CONFIG_APPLY_BOUND_S
+        if probe.sent > due and was_undisturbed(
+            observations, probe.node, probe.acknowledged, probe.sent
         ):
-            yield _violation("configuration in force", str(probe))
+            yield _violation("configuration applied in time", str(probe))
         if key in has and probe.sent > has[key] + ROLLBACK_SLACK_S:
-            yield _violation("configuration kept", str(probe))
+            yield _violation("configuration not rolled back", str(probe))
 
 
 @check
-def planned_stops_cut_nothing(seen):
-    """A request that a stopping or calm node passed on is answered."""
-    runs = _runs_by_id(seen)
-    for request in seen.requests:
+def planned_stops_cut_nothing(observations):
+    """Undisturbed nodes do not break off requests that they forwarded.
+
+    Nor does a node that is stopped by SIGTERM.
+    """
+    executions = _executions_by_id(observations)
+    for request in observations.requests:
         if (
             request.end is _records.End.BROKEN
-            and runs[request.request_id]
-            and is_calm(
-                seen, request.node, request.sent, request.ended, planned=False
+            and executions[request.request_id]
+            and was_undisturbed(
+                observations,
+                request.node,
+                request.sent,
+                request.ended,
+                count_graceful_stops=False,
             )
         ):
-            yield _violation("requests are not cut", str(request))
+            yield _violation("accepted requests completed", str(request))
 
 
 @check
-def answers_come_in_time(seen):
-    """A calm node answers by the end of the route's timeout."""
-    for request in seen.requests:
-        due = min(request.patience, request.timeout) + ANSWER_SLACK_S
+def answers_come_in_time(observations):
+    """Undisturbed nodes respond within the timeout of route and caller."""
+    for request in observations.requests:
+        due = min(request.patience, request.timeout) + RESPONSE_SLACK_S
         if (
             request.end is not _records.End.LEFT
             and request.end is not _records.End.NOT_SENT
             and request.ended - request.sent > due
-            and is_calm(seen, request.node, request.sent, request.ended)
+            and was_undisturbed(
+                observations, request.node, request.sent, request.ended
+            )
         ):
-            yield _violation("answer in time", str(request))
+            yield _violation("response in time", str(request))
 
 
 @check
-def abandoned_work_ends(seen):
-    """Most idempotent work ends soon after its caller has left."""
-    runs = _runs_by_id(seen)
+def abandoned_work_ends(observations):
+    """Most idempotent requests end soon after their caller disconnected.
+
+    None is started later than CANCELLATION_BOUND_S after the disconnection.
+    """
+    executions = _executions_by_id(observations)
     due, ended = 0, 0
-    for request in seen.requests:
+    for request in observations.requests:
         if request.end is not _records.End.LEFT or not request.idempotent:
             continue
-        if not is_calm(seen, request.node, request.sent, request.ended):
+        if not was_undisturbed(
+            observations, request.node, request.sent, request.ended
+        ):
             continue
-        for run in runs[request.request_id]:
-            if run.started > request.ended + CANCEL_S:
-                yield _violation("no work for gone callers", str(request))
-            over = seen.work_ended.get((request.request_id, run.instance))
-            calm = is_calm(seen, run.instance, run.started, request.ended)
-            if over is None or not calm:
+        for execution in executions[request.request_id]:
+            if execution.started > request.ended + CANCELLATION_BOUND_S:
+                yield _violation(
+                    "no execution for disconnected callers", str(request)
+                )
+            ended_at = observations.execution_ended_at.get(
+                (request.request_id, execution.instance)
+            )
+            undisturbed = was_undisturbed(
+                observations,
+                execution.instance,
+                execution.started,
+                request.ended,
+            )
+            if ended_at is None or not undisturbed:
                 continue
             due += 1
-            ended += over <= request.ended + CANCEL_S
-    if due >= 8 and ended < CANCELLED_SHARE * due:
-        yield _violation("abandoned work ends", f"{ended} of {due}")
+            ended += ended_at <= request.ended + CANCELLATION_BOUND_S
+    if due >= 8 and ended < MIN_CANCELLED_SHARE * due:
+        yield _violation("abandoned requests cancelled", f"{ended} of {due}")
 
 
 @check
-def repeats_stay_in_budget(seen):
-    """Further arrivals stay below a share of a service's requests."""
-    first = set()
-    repeats = collections.defaultdict(list)
-    firsts = collections.defaultdict(list)
-    for at, request_id, service in sorted(seen.arrivals):
-        if request_id in first:
-            repeats[service].append(at)
+def repeats_stay_in_budget(observations):
+    """Retries of a service stay within its retry budget.
+
+    All arrivals of a request id but the first count as retries. The retries
+    in a window are compared with the first attempts in this window and the
+    one before.
+    """
+    seen_ids = set()
+    retries = collections.defaultdict(list)
+    first_attempts = collections.defaultdict(list)
+    for at, request_id, service in sorted(observations.arrivals):
+        if request_id in seen_ids:
+            retries[service].append(at)
         else:
-            first.add(request_id)
-            firsts[service].append(at)
-    for service, times in repeats.items():
+            seen_ids.add(request_id)
+            first_attempts[service].append(at)
+    for service, times in retries.items():
         for start in times:
-            in_window = sum(start <= t < start + RETRY_WINDOW_S for t in times)
-            asked = sum(
+            retries_in_window = sum(
+                start <= t < start + RETRY_WINDOW_S for t in times
+            )
+            attempts_in_windows = sum(
                 start - RETRY_WINDOW_S <= t < start + RETRY_WINDOW_S
-                for t in firsts[service]
+                for t in first_attempts[service]
             )
-            if in_window > RETRY_RATIO * asked + RETRY_SLACK:
+            if (
+                retries_in_window
+                > RETRY_RATIO * attempts_in_windows + RETRY_SLACK_COUNT
+            ):
                 yield _violation(
-                    "retry budget", f"{service}: {in_window} of {asked}"
+                    "retry budget",
+                    f"{service}: {retries_in_window} of {attempts_in_windows}",
                 )
                 break
 
 
 @check
-def processes_end_only_when_asked(seen):
-    """A node ends with 0 within the grace after SIGTERM, never by itself."""
-    for ended in seen.exits:
-        if ended.killed or _ended_in_start(ended):
+def processes_end_only_when_asked(observations):
+    """A node only exits after SIGTERM, in time and with exit code 0.
+
+    Exempt are killed processes and those that got a signal before their
+    handler was installed; the time bound is waived if a fault affected the
+    node during its stop.
+    """
+    for process_exit in observations.exits:
+        if process_exit.killed or _exited_before_handler(process_exit):
             continue
-        if ended.stopped is None or ended.code != 0:
-            yield _violation("process ends only when asked", str(ended))
-        elif ended.ended - ended.stopped > STOP_GRACE_S and not _was_disturbed(
-            seen, ended
+        if process_exit.stopped is None or process_exit.code != 0:
+            yield _violation(
+                "process exits only on request", str(process_exit)
+            )
+        elif (
+            process_exit.ended - process_exit.stopped > STOP_GRACE_PERIOD_S
+            and not _was_disturbed_while_stopping(observations, process_exit)
         ):
-            yield _violation("process ends within the grace", str(ended))
+            yield _violation(
+                "process exits within the grace period", str(process_exit)
+            )
 
 
-def _was_disturbed(seen, ended):
-    """Return whether the node itself was disturbed while it stopped."""
+def _was_disturbed_while_stopping(observations, process_exit):
+    """Return whether a fault of this node overlapped its stop.
+
+    Faults that affect all nodes do not count.
+    """
     return any(
-        trouble.name == ended.node
-        and not trouble.planned
-        and trouble.began <= ended.ended
-        and ended.stopped <= trouble.ended
-        for trouble in seen.troubles
+        period.name == process_exit.node
+        and not period.graceful_stop
+        and period.began <= process_exit.ended
+        and process_exit.stopped <= period.ended
+        for period in observations.fault_periods
     )
 
 
-def _ended_in_start(ended):
-    """Return whether a signal came before the process could handle it."""
+def _exited_before_handler(process_exit):
+    """Return whether a signal ended the process before its handler existed."""
     if (
-        ended.code == -signal.SIGHUP
-        and ended.ended - ended.started < INTERPRETER_START_S
+        process_exit.code == -signal.SIGHUP
+        and process_exit.ended - process_exit.started < INTERPRETER_START_S
     ):
         return True
     return (
-        ended.code == -signal.SIGTERM
-        and ended.stopped is not None
-        and ended.stopped - ended.started < START_S
+        process_exit.code == -signal.SIGTERM
+        and process_exit.stopped is not None
+        and process_exit.stopped - process_exit.started
+        < SIGNAL_HANDLER_START_S
     )
 
 
 @check
-def service_recovers(seen):
-    """Once all troubles are over, requests are served again."""
+def service_recovers(observations):
+    """Requests succeed again within the recovery time after the last fault."""
     sent = [
         request
-        for request in seen.requests
-        if request.sent > seen.calm_from + RECOVERY_S
+        for request in observations.requests
+        if request.sent > observations.faults_over_at + RECOVERY_TIME_S
         and request.end is not _records.End.LEFT
     ]
     served = sum(r.reply is not None and r.reply.status == 200 for r in sent)
-    if not sent or served < SERVED_SHARE * len(sent):
+    if not sent or served < MIN_SERVED_SHARE * len(sent):
         yield _violation("recovery", f"{served} of {len(sent)} served")
--- a/wigeonrouter/soak/_checks_test.py
+++ b/wigeonrouter/soak/_checks_test.py
@@ -1,4 +1,4 @@
-"""Tests that each check of the soak sees what it is there for."""
+"""Tests that each check of the soak test detects its violation."""
 
 import dataclasses
 
@@ -11,20 +11,20 @@
 End = _records.End
 
 
-def make_reply(**changes):
-    """Return the whole answer of i-1 to request r1."""
-    reply = testing.CallerResponse(
+def make_response(**changes):
+    """Return the complete response of i-1 to request r1."""
+    response = testing.CallerResponse(
         status=200,
         request_id="r1",
         instance="i-1",
         body=b"body of /hold/r1",
         closes=False,
     )
-    return dataclasses.replace(reply, **changes)
+    return dataclasses.replace(response, **changes)
 
 
 def make_request(**changes):
-    """Return a request that was answered well at second 10."""
+    """Return a successful request that was sent at second 10."""
     request = _records.Request(
         request_id="r1",
         node="node-1",
@@ -36,25 +36,25 @@
         patience=3.0,
         timeout=1.5,
         end=End.ANSWERED,
-        reply=make_reply(),
+        reply=make_response(),
     )
     return dataclasses.replace(request, **changes)
 
 
-def make_run(**changes):
-    """Return the run of r1 at i-1."""
-    run = _records.Run(
+def make_execution(**changes):
+    """Return the execution of r1 by i-1."""
+    execution = _records.Execution(
         request_id="r1",
         instance="i-1",
         service="alpha",
         target="/hold/r1",
         started=10.01,
     )
-    return dataclasses.replace(run, **changes)
+    return dataclasses.replace(execution, **changes)
 
 
 def make_probe(**changes):
-    """Return a probe that found a version long after its bound."""
+    """Return a probe that found its version after the time bound."""
     probe = _records.Probe(
         node="node-1",
         incarnation=1,
@@ -67,7 +67,7 @@
 
 
 def make_exit(**changes):
-    """Return a planned stop that went well."""
+    """Return the exit of a node after a correct graceful stop."""
     ended = _records.Exit(
         node="node-1",
         started=0.0,
@@ -80,54 +80,63 @@
 
 
 @pytest.fixture
-def seen():
-    """Observations of one request that went well."""
+def observations():
+    """Observations without a violation, of one successful request."""
     return _records.Observations(
         requests=[make_request()],
-        runs=[make_run()],
+        executions=[make_execution()],
         probes=[make_probe()],
         exits=[make_exit()],
-        allowed={"hold": {"alpha"}},
-        calm_from=1.0,
+        allowed_services={"hold": {"alpha"}},
+        faults_over_at=1.0,
     )
 
 
-def promises(seen):
-    """Return the set of broken promises."""
-    return {found.promise for found in _checks.find_violations(seen)}
+def violated_invariants(observations):
+    """Return the set of violated invariants."""
+    return {found.invariant for found in _checks.find_violations(observations)}
 
 
-def test_nothing_is_found_where_all_is_well(seen):
-    """Guards against checks that cry wolf."""
-    assert promises(seen) == set()
+def test_correct_run_has_no_violations(observations):
+    """Guards against checks that report violations in a correct run."""
+    assert violated_invariants(observations) == set()
 
 
 @pytest.mark.parametrize(
-    ("changes", "promise"),
+    ("changes", "invariant"),
     [
         (
-            {"runs": [make_run(), make_run(instance="i-2")]},
-            "runs at most once",
+            {"executions": [make_execution(), make_execution(instance="i-2")]},
+            "executed at most once",
         ),
         (
-            {"requests": [make_request(reply=make_reply(status=503))]},
-            "refusal is true",
+            {"requests": [make_request(reply=make_response(status=503))]},
+            "rejected request not executed",
         ),
         (
-            {"requests": [make_request(reply=make_reply(body=b"body"))]},
-            "answer is whole and own",
+            {"requests": [make_request(reply=make_response(body=b"body"))]},
+            "response complete and matching",
         ),
         (
-            {"requests": [make_request(reply=make_reply(instance="i-2"))]},
-            "answer is whole and own",
+            {"requests": [make_request(reply=make_response(instance="i-2"))]},
+            "response complete and matching",
         ),
-        ({"runs": [make_run(target="/x")]}, "nothing unasked runs"),
-        ({"runs": [make_run(service="b")]}, "runs at an allowed service"),
         (
-            {"leaving": [_records.Leaving(instance="i-1", acknowledged=7.0)]},
+            {"executions": [make_execution(target="/x")]},
+            "only sent requests executed",
+        ),
+        (
+            {"executions": [make_execution(service="b")]},
+            "executed by an allowed service",
+        ),
+        (
+            {"drains": [_records.Drain(instance="i-1", acknowledged=7.0)]},
             "drain",
         ),
-        ({"probes": [make_probe(found=False)]}, "configuration in force"),
+        (
+            {"probes": [make_probe(found=False)]},
+            "configuration applied in time",
+        ),
         (
             {
                 "probes": [
@@ -135,86 +144,103 @@
                     make_probe(sent=6.0, found=False),
                 ]
             },
-            "configuration kept",
+            "configuration not rolled back",
         ),
         (
             {"requests": [make_request(end=End.BROKEN, reply=None)]},
-            "requests are not cut",
+            "accepted requests completed",
         ),
-        ({"requests": [make_request(ended=12.1)]}, "answer in time"),
+        ({"requests": [make_request(ended=12.1)]}, "response in time"),
         (
             {
                 "requests": [
                     make_request(end=End.LEFT, idempotent=True, reply=None)
                 ],
-                "runs": [make_run(started=11.0)],
+                "executions": [make_execution(started=11.0)],
             },
-            "no work for gone callers",
+            "no execution for disconnected callers",
         ),
         (
             {"exits": [make_exit(code=1)]},
-            "process ends only when asked",
+            "process exits only on request",
         ),
         (
             {"exits": [make_exit(stopped=None)]},
-            "process ends only when asked",
+            "process exits only on request",
         ),
         (
             {"exits": [make_exit(ended=17.0)]},
-            "process ends within the grace",
+            "process exits within the grace period",
         ),
         (
-            {"requests": [make_request(reply=make_reply(status=503))] * 2},
+            {"requests": [make_request(reply=make_response(status=503))] * 2},
             "recovery",
         ),
     ],
 )
-def test_broken_promise_is_found(seen, changes, promise):
-    """Guards against a check that sees nothing."""
+def test_violation_is_detected(observations, changes, invariant):
+    """Guards against a check that misses violations of its invariant."""
     for name, value in changes.items():
-        setattr(seen, name, value)
-    assert promise in promises(seen)
+        setattr(observations, name, value)
+    assert invariant in violated_invariants(observations)
 
 
-def test_repeats_beyond_the_budget_are_found(seen):
-    """Guards against a repeat of each request while a service fails."""
-    seen.arrivals = [(t * 0.1, f"r{t}", "alpha") for t in range(100)]
-    assert "retry budget" not in promises(seen)
-    seen.arrivals += [(t * 0.1 + 0.05, f"r{t}", "alpha") for t in range(100)]
-    assert "retry budget" in promises(seen)
+def test_retries_beyond_the_budget_are_detected(observations):
+    """Guards against a retry of every request while a service fails."""
+    observations.arrivals = [(t * 0.1, f"r{t}", "alpha") for t in range(100)]
+    assert "retry budget" not in violated_invariants(observations)
+    observations.arrivals += [
+        (t * 0.1 + 0.05, f"r{t}", "alpha") for t in range(100)
+    ]
+    assert "retry budget" in violated_invariants(observations)
 
 
-def test_work_that_goes_on_for_gone_callers_is_found(seen):
-    """Guards against cancellation that reaches few servers."""
+def test_requests_not_cancelled_after_disconnection_are_detected(observations):
+    """Guards against cancellation that reaches too few backend servers."""
     left = make_request(end=End.LEFT, idempotent=True, reply=None)
     for number in range(10):
         name = f"r{number}"
-        seen.requests.append(dataclasses.replace(left, request_id=name))
-        seen.runs.append(make_run(request_id=name))
-        seen.work_ended[name, "i-1"] = 10.2
-    assert "abandoned work ends" not in promises(seen)
+        observations.requests.append(
+            dataclasses.replace(left, request_id=name)
+        )
+        observations.executions.append(make_execution(request_id=name))
+        observations.execution_ended_at[name, "i-1"] = 10.2
+    assert "abandoned requests cancelled" not in violated_invariants(
+        observations
+    )
     for number in range(5):
-        seen.work_ended[f"r{number}", "i-1"] = 12.0
-    assert "abandoned work ends" in promises(seen)
+        observations.execution_ended_at[f"r{number}", "i-1"] = 12.0
+    assert "abandoned requests cancelled" in violated_invariants(observations)
 
 
 @pytest.mark.parametrize(
     ("name", "broken"), [("node-1", False), ("", True), ("node-2", True)]
 )
-def test_stop_may_take_longer_only_where_the_node_was_paused(
-    seen, name, broken
+def test_stop_may_exceed_the_grace_period_only_if_the_node_was_paused(
+    observations, name, broken
 ):
-    """Guards against findings for a node that stood still while stopping."""
-    seen.exits = [make_exit(ended=17.0)]
-    seen.troubles = [_records.Trouble(name=name, began=11.0, ended=13.0)]
-    assert ("process ends within the grace" in promises(seen)) is broken
+    """Guards against violations reported for a node paused while stopping."""
+    observations.exits = [make_exit(ended=17.0)]
+    observations.fault_periods = [
+        _records.FaultPeriod(name=name, began=11.0, ended=13.0)
+    ]
+    assert (
+        "process exits within the grace period"
+        in violated_invariants(observations)
+    ) is broken
 
 
 @pytest.mark.parametrize("name", ["", "node-1"])
-def test_disturbed_node_is_not_held_to_the_time_bounds(seen, name):
-    """Guards against findings where the pages promise nothing."""
-    seen.probes = [make_probe(found=False)]
-    seen.troubles = [_records.Trouble(name=name, began=1.0, ended=6.0)]
-    assert "configuration in force" not in promises(seen)
-    seen.troubles = [_records.Trouble(name=name, began=1.0, ended=1.5)]
-    assert "configuration in force" in promises(seen)
+def test_time_bounds_do_not_apply_to_a_disturbed_node(observations, name):
+    """Guards against violations reported where no bound is documented."""
+    observations.probes = [make_probe(found=False)]
+    observations.fault_periods = [
+        _records.FaultPeriod(name=name, began=1.0, ended=6.0)
+    ]
+    assert "configuration applied in time" not in violated_invariants(
+        observations
+    )
+    observations.fault_periods = [
+        _records.FaultPeriod(name=name, began=1.0, ended=1.5)
+    ]
+    assert "configuration applied in time" in violated_invariants(observations)
--- /dev/null
+++ b/wigeonrouter/soak/_environment.py
@@ -0,0 +1,308 @@
+"""Environment of the nodes in a run: store, backend servers and operator."""
+
+import time
+
+import gevent
+
+from wigeonrouter import core
+from wigeonrouter import topology
+from wigeonrouter.platform import _emulator
+from wigeonrouter.platform import testing
+from wigeonrouter.soak import _fault_proxy
+from wigeonrouter.soak import _records
+
+HOST = "shop.example"
+SERVICES = ("alpha", "beta")
+DOMAINS = {"za": "r1", "zb": "r1", "zc": "r2", "zd": "r2"}
+_SERVICE_TIME_S = 0.03
+_ROUTE_TIMEOUT_S = 1.5
+_TARGET_LATENCY_S = 0.3
+_PROBE_INTERVAL_S = 0.7
+# Maximum number of nodes that are probed in each interval. The limit is there
+# because the backend servers execute the probes as well.
+_PROBED_NODES = 12
+# Time in which all running backend servers register again after an outage.
+_REREGISTRATION_TIME_S = 1.5
+_DRAIN_DURATION_S = 4.0
+
+
+class Backend:
+    """Owns one backend server and the fault proxy in front of it.
+
+    Attributes:
+      instance: instance id, unique for each start of a server.
+      service: name of the service.
+      domain: failure domain.
+      sequence: sequence number of the last registration.
+      draining: whether the server is registered as draining.
+      removed: whether the server was stopped for good.
+    """
+
+    def __init__(self, *, instance, service, domain, port=0):
+        self.instance = instance
+        self.service = service
+        self.domain = domain
+        self.server = _emulator.EmulatedBackend(
+            instance=instance,
+            service=service,
+            zone=domain,
+            work=_SERVICE_TIME_S,
+        )
+        self.proxy = _fault_proxy.FaultProxy(
+            listen=("127.0.0.1", port), target=("127.0.0.1", self.server.port)
+        )
+        self.sequence = 0
+        self.draining = False
+        self.removed = False
+
+    @property
+    def name(self):
+        """Instance id; names the server in a FaultPeriod."""
+        return self.instance
+
+    def entry(self):
+        """Return a registration with the next sequence number."""
+        self.sequence += 1
+        return self.server.entry(
+            state="draining" if self.draining else "ready",
+            sequence=self.sequence,
+            address=f"127.0.0.1:{self.proxy.port}",
+        )
+
+    def stop(self):
+        """Stop the server and close all connections to it."""
+        self.proxy.stop()
+        self.server.stop()
+
+
+class Environment:
+    """Owns the store and the backend servers, and acts as the operator.
+
+    Attributes:
+      store: EmulatedStore.
+      backends: list of all Backends, including the removed ones.
+      fleet: Fleet, None until it is set by the caller.
+      sender: Sender, None until it is set by the caller.
+      observations: Observations.
+    """
+
+    def __init__(self, *, servers_per_domain, observations, rng):
+        self.store = _emulator.EmulatedStore()
+        self.observations = observations
+        self.rng = rng
+        self.fleet = None
+        self.sender = None
+        self.backends = []
+        self._last_instance_number = 0
+        self._last_version = 0
+        # The route that each configuration version added, and the time at
+        # which the store accepted the latest version.
+        self._probe_routes = []
+        self._acknowledged_at = 0.0
+        self._read_service = SERVICES[0]
+        self._write_configuration()
+        for domain in DOMAINS:
+            for service in SERVICES:
+                for _ in range(servers_per_domain):
+                    self.add_backend(service, domain)
+
+    @property
+    def running(self):
+        """List of the Backends that are not removed, also draining ones."""
+        return [backend for backend in self.backends if not backend.removed]
+
+    @property
+    def active(self):
+        """List of the Backends that are neither removed nor draining."""
+        return [backend for backend in self.running if not backend.draining]
+
+    def routes(self):
+        """Return the tuple of routes that callers use."""
+        return (
+            _route("read", True, self._read_service),
+            _route("hold", False, SERVICES[0]),
+            _route("pay", False, SERVICES[1]),
+        )
+
+    def add_backend(self, service, domain, *, port=0):
+        """Start and register a backend server; return its Backend.
+
+        Args:
+          port: port of its address, 0 for any free one.
+        """
+        self._last_instance_number += 1
+        backend = Backend(
+            instance=f"i-{self._last_instance_number:03d}",
+            service=service,
+            domain=domain,
+            port=port,
+        )
+        self.backends.append(backend)
+        self.register(backend)
+        return backend
+
+    def register(self, backend):
+        """Write the registration of a backend server to the store."""
+        self.store.put(testing.server_key(backend.instance), backend.entry())
+
+    def drain(self, backend):
+        """Drain a backend server, wait _DRAIN_DURATION_S and remove it."""
+        if backend.draining:
+            return
+        backend.draining = True
+        self.register(backend)
+        self.observations.drains.append(
+            _records.Drain(
+                instance=backend.instance, acknowledged=time.monotonic()
+            )
+        )
+        gevent.sleep(_DRAIN_DURATION_S)
+        self.remove(backend)
+
+    def remove(self, backend):
+        """Stop a backend server for good and delete its registration."""
+        if backend.removed:
+            return
+        backend.removed = True
+        self.store.remove(testing.server_key(backend.instance))
+        self._record_backend(backend)
+        backend.stop()
+
+    def replace(self, backend):
+        """Remove a backend server and reuse its address.
+
+        A new backend server of the other service gets the address. Nodes that
+        still know the old registration then connect to the wrong service.
+        """
+        self.remove(backend)
+        other = SERVICES[SERVICES[0] == backend.service]
+        self.add_backend(other, backend.domain, port=backend.proxy.port)
+
+    def remove_registrations(self):
+        """Delete all registrations, as if they had expired in an outage."""
+        for backend in self.running:
+            self.store.remove(testing.server_key(backend.instance))
+
+    def restore_registrations(self):
+        """Register all running backend servers again, spread over time."""
+        for backend in self.running:
+            self.register(backend)
+            gevent.sleep(_REREGISTRATION_TIME_S / max(1, len(self.running)))
+
+    def change_configuration(self):
+        """Write a new version of the configuration.
+
+        It has one more route, and with a probability of 0.4 the route "read"
+        moves to a randomly chosen service.
+        """
+        if self.rng.random() < 0.4:
+            self._read_service = self.rng.choice(SERVICES)
+        self._write_configuration()
+
+    def probe_configuration(self):
+        """Probe random nodes for the newest route, until killed."""
+        while True:
+            gevent.sleep(_PROBE_INTERVAL_S)
+            nodes = self.fleet.nodes
+            for node in self.rng.sample(nodes, min(_PROBED_NODES, len(nodes))):
+                gevent.spawn(
+                    self._probe,
+                    node,
+                    self._last_version,
+                    self._probe_routes[-1],
+                    self._acknowledged_at,
+                )
+
+    def collect_observations(self):
+        """Record what the running backend servers observed."""
+        for backend in self.running:
+            self._record_backend(backend)
+
+    def stop(self):
+        """Stop all backend servers and the store."""
+        for backend in self.running:
+            backend.stop()
+        self.store.stop()
+
+    def _record_backend(self, backend):
+        observations, server = self.observations, backend.server
+        observations.executions.extend(
+            _records.Execution(
+                request_id=execution.request_id,
+                instance=backend.instance,
+                service=backend.service,
+                target=execution.target,
+                started=execution.started,
+            )
+            for execution in server.runs
+        )
+        observations.arrivals.extend(
+            (at, request_id, backend.service)
+            for at, request_id in server.arrivals
+        )
+        for request_id, at in server.ended.items():
+            observations.execution_ended_at[request_id, backend.instance] = at
+
+    def _write_configuration(self):
+        self._last_version += self.rng.randrange(1, 4)
+        name = f"v{self._last_version}"
+        self._probe_routes.append(_route(name, True, "alpha"))
+        configuration = topology.Configuration(
+            version=self._last_version,
+            routes=(*self.routes(), *self._probe_routes),
+            services={
+                service: topology.ServiceSettings(
+                    name=service, health_path="/health", max_connections=200
+                )
+                for service in SERVICES
+            },
+            limits=topology.CallerLimits(),
+        )
+        for route in configuration.routes:
+            self.observations.record_route(route)
+        self.store.put(
+            testing.CONFIGURATION_KEY,
+            testing.render_configuration(configuration),
+        )
+        self._acknowledged_at = time.monotonic()
+
+    def _probe(self, node, version, route, acknowledged):
+        sent = time.monotonic()
+        incarnation = node.incarnation
+        found = None
+        response = self.sender.send_directly(node, route)
+        if response is not None and incarnation == node.incarnation:
+            found = not response.not_found
+            if response.promises_not_run:
+                # A node that has just started has no configuration yet and
+                # rejects the probe.
+                found = None
+        self.observations.probes.append(
+            _records.Probe(
+                node=node.name,
+                incarnation=incarnation,
+                version=version,
+                acknowledged=acknowledged,
+                sent=sent,
+                found=found,
+            )
+        )
+
+
+def _route(name, idempotent, service):
+    return topology.Route(
+        name=name,
+        host=HOST,
+        prefix=f"/{name}/",
+        shares=(topology.TrafficShare(service=service, weight=1),),
+        idempotent=idempotent,
+        timeout=_ROUTE_TIMEOUT_S,
+        target_latency=_TARGET_LATENCY_S,
+        priority=1,
+        max_attempts=3,
+    )
+
+
+def get_place(domain):
+    """Return the core.Place of a failure domain."""
+    return core.Place(region=DOMAINS[domain], failure_domain=domain)
--- a/wigeonrouter/soak/_fleet.py
+++ b/wigeonrouter/soak/_fleet.py
@@ -1,4 +1,4 @@
-"""Runs node processes on loopback, each behind links that can fail."""
+"""Runs node processes on loopback addresses behind fault proxies."""
 
 import dataclasses
 import os
@@ -14,17 +14,17 @@
 from wigeonrouter import topology
 from wigeonrouter.platform import testing
 from wigeonrouter.soak import _checks
-from wigeonrouter.soak import _links
+from wigeonrouter.soak import _fault_proxy
 from wigeonrouter.soak import _records
 
-_RESTART_S = 0.2
-_POLL_S = 0.02
-_KILL_WAIT_S = 3.0
-_HEARTBEAT_S = 1.5
+_RESTART_DELAY_S = 0.2
+_POLL_INTERVAL_S = 0.02
+_KILL_TIMEOUT_S = 3.0
+_HEARTBEAT_INTERVAL_S = 1.5
 _BOUNDS = {
-    "drain": f"{_checks.DRAIN_S * 1000:.0f}ms",
-    "grace": f"{_checks.STOP_GRACE_S * 1000:.0f}ms",
-    "config_apply": f"{_checks.CONFIG_APPLY_S * 1000:.0f}ms",
+    "drain": f"{_checks.DRAIN_BOUND_S * 1000:.0f}ms",
+    "grace": f"{_checks.STOP_GRACE_PERIOD_S * 1000:.0f}ms",
+    "config_apply": f"{_checks.CONFIG_APPLY_BOUND_S * 1000:.0f}ms",
     "retry_budget_ratio": f"{_checks.RETRY_RATIO}",
     "budget_window": f"{_checks.RETRY_WINDOW_S:.0f}s",
     "ttl_max": "5s",
@@ -33,7 +33,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Ports:
-    """Ports that no node listens on twice."""
+    """Ports of the nodes. Nodes use the same ports on different addresses.
+
+    Attributes:
+      first_peer: start of the range of ports for connections of peers.
+    """
 
     caller: int
     readiness: int
@@ -43,41 +47,43 @@
 
 
 class NodeProcess:
-    """Owns one node: its process, its settings file and its links.
+    """Supervises one node: its process, settings file and fault proxies.
 
     Args:
       settings: topology.NodeSettings with the addresses it listens on.
-      store_link: Link to the store.
-      caller_link: Link that callers use.
+      store_proxy: FaultProxy between the node and the store.
+      caller_proxy: FaultProxy between callers and the node.
       directory: pathlib.Path for the settings file and the log.
-      seen: Observations.
+      observations: Observations.
     """
 
-    def __init__(self, *, settings, store_link, caller_link, directory, seen):
+    def __init__(
+        self, *, settings, store_proxy, caller_proxy, directory, observations
+    ):
         self.settings = settings
-        self.store_link = store_link
-        self.caller_link = caller_link
-        self.peer_links = {}
+        self.store_proxy = store_proxy
+        self.caller_proxy = caller_proxy
+        self.peer_proxies = {}
         self.incarnation = 0
-        self._seen = seen
+        self._observations = observations
         self._directory = directory
         self._process = None
-        self._stopped = None
-        self._killed = False
-        self._ending = False
+        self._terminated_at = None
+        self._was_killed = False
+        self._shutting_down = False
         self._task = None
 
     @property
     def name(self):
-        """Name of the node."""
+        """Node name, as in its settings."""
         return self.settings.name
 
     def start(self):
-        """Run the process, and run it again whenever it has ended."""
+        """Start the process and restart it whenever it has exited."""
         self._task = gevent.spawn(self._supervise)
 
     def write_settings(self):
-        """Write the settings file."""
+        """Write the settings file and return its path."""
         path = self._directory / f"{self.name}.conf"
         path.write_text(
             testing.render_settings(self.settings, bounds=_BOUNDS), "utf-8"
@@ -85,47 +91,47 @@
         return path
 
     def kill(self):
-        """End the process at once."""
-        self._killed = True
+        """Kill the process with SIGKILL; the supervisor restarts it."""
+        self._was_killed = True
         self._signal(signal.SIGKILL)
 
     def terminate(self):
-        """Ask the process to stop."""
-        if self._stopped is None:
-            self._stopped = time.monotonic()
+        """Send SIGTERM, which requests a graceful stop."""
+        if self._terminated_at is None:
+            self._terminated_at = time.monotonic()
         self._signal(signal.SIGTERM)
 
-    def hang_up(self):
-        """Ask the process to read its settings again."""
+    def reload_settings(self):
+        """Send SIGHUP, which makes the process reload its settings."""
         self._signal(signal.SIGHUP)
 
     def pause(self):
-        """Stand still until resume()."""
+        """Suspend the process with SIGSTOP until resume()."""
         self._signal(signal.SIGSTOP)
 
     def resume(self):
-        """Go on after pause()."""
+        """Continue the process with SIGCONT."""
         self._signal(signal.SIGCONT)
 
-    def end(self):
-        """End the process for good."""
-        self._ending = True
+    def shut_down(self):
+        """Kill the process for good, without a restart."""
+        self._shutting_down = True
         self.resume()
         self.kill()
-        self._task.join(timeout=_KILL_WAIT_S)
+        self._task.join(timeout=_KILL_TIMEOUT_S)
 
     def _signal(self, number):
         if self._process is not None and self._process.poll() is None:
             self._process.send_signal(number)
 
     def _supervise(self):
-        while not self._ending:
-            self._run()
-            gevent.sleep(_RESTART_S)
+        while not self._shutting_down:
+            self._run_once()
+            gevent.sleep(_RESTART_DELAY_S)
 
-    def _run(self):
+    def _run_once(self):
         path = self.write_settings()
-        self._stopped, self._killed = None, False
+        self._terminated_at, self._was_killed = None, False
         self.incarnation += 1
         started = time.monotonic()
         with open(self._directory / f"{self.name}.log", "ab") as log:
@@ -141,82 +147,91 @@
                 stderr=subprocess.STDOUT,
             )
         while self._process.poll() is None:
-            gevent.sleep(_POLL_S)
-        self._seen.exits.append(
+            gevent.sleep(_POLL_INTERVAL_S)
+        self._observations.exits.append(
             _records.Exit(
                 node=self.name,
                 started=started,
                 ended=time.monotonic(),
                 code=self._process.returncode,
-                stopped=self._stopped,
-                killed=self._killed or self._ending,
+                stopped=self._terminated_at,
+                killed=self._was_killed or self._shutting_down,
             )
         )
 
 
 class Fleet:
-    """Owns the node processes and the links between them.
+    """Owns the node processes and the fault proxies between them.
 
     Args:
       domains: dict from failure domain to region.
       size: number of nodes.
-      prefix: first two numbers of the loopback addresses, "127.9".
+      prefix: first two octets of the loopback addresses, such as "127.9".
       ports: Ports.
       store_address: core.Address of the store.
-      directory: pathlib.Path for files.
-      seen: Observations.
+      directory: pathlib.Path for settings files and logs.
+      observations: Observations.
     """
 
     def __init__(
-        self, *, domains, size, prefix, ports, store_address, directory, seen
+        self,
+        *,
+        domains,
+        size,
+        prefix,
+        ports,
+        store_address,
+        directory,
+        observations,
     ):
         self._ports = ports
-        self._store = (store_address.host, store_address.port)
+        self._store_address = (store_address.host, store_address.port)
         self._prefix = prefix
         self._domains = domains
         self._directory = pathlib.Path(directory)
-        self._seen = seen
-        self._links = []
-        names = sorted(domains)
+        self._observations = observations
+        self._proxies = []
+        domain_names = sorted(domains)
         self.nodes = [
-            self._make_node(index, names[index % len(names)])
+            self._make_node(index, domain_names[index % len(domain_names)])
             for index in range(size)
         ]
         self._connect_peers()
 
     def start(self):
-        """Run all processes."""
+        """Start all node processes."""
         for node in self.nodes:
             node.start()
 
     def stop(self):
-        """End all processes and links."""
-        gevent.joinall([gevent.spawn(node.end) for node in self.nodes])
-        for link in self._links:
-            link.stop()
-
-    def heal(self):
-        """End the faults of all links."""
-        for link in self._links:
-            link.heal()
-
-    def by_caller_address(self, address):
-        """Return the node that callers know under an address, or None."""
+        """Kill all node processes and stop all fault proxies."""
+        gevent.joinall([gevent.spawn(node.shut_down) for node in self.nodes])
+        for proxy in self._proxies:
+            proxy.stop()
+
+    def clear_faults(self):
+        """Clear the faults of all proxies."""
+        for proxy in self._proxies:
+            proxy.clear_faults()
+
+    def find_by_caller_address(self, address):
+        """Return the NodeProcess with this caller address, or None."""
         for node in self.nodes:
             if node.settings.caller_address == address:
                 return node
         return None
 
-    def _link(self, *, listen, target):
-        link = _links.Link(listen=listen, target=target)
-        self._links.append(link)
-        return link
+    def _add_proxy(self, *, listen, target):
+        proxy = _fault_proxy.FaultProxy(listen=listen, target=target)
+        self._proxies.append(proxy)
+        return proxy
 
     def _make_node(self, index, domain):
         host = f"{self._prefix}.1.{index + 1}"
         ports = self._ports
-        store_link = self._link(
-            listen=(f"{self._prefix}.2.{index + 1}", 0), target=self._store
+        store_proxy = self._add_proxy(
+            listen=(f"{self._prefix}.2.{index + 1}", 0),
+            target=self._store_address,
         )
         return NodeProcess(
             settings=topology.NodeSettings(
@@ -235,36 +250,37 @@
                 control_address=core.Address(host=host, port=ports.control),
                 store_address=core.Address(
                     host=f"{self._prefix}.2.{index + 1}",
-                    port=store_link.port,
+                    port=store_proxy.port,
                 ),
-                # A node uses its own first port for the peers' too: so each
-                # pair of nodes has a link of its own.
+                # A node connects to all peers at the first port of its own
+                # range. As this port differs between nodes, each ordered
+                # pair of nodes has a proxy of its own.
                 peer_ports=(ports.first_peer + index, ports.first_peer + 999),
                 seeds=(f"{self._prefix}.1.1", f"{self._prefix}.1.2"),
                 capacity=1000,
                 regions=self._domains,
-                heartbeat=_HEARTBEAT_S,
+                heartbeat=_HEARTBEAT_INTERVAL_S,
                 bounds=topology.Bounds(),
             ),
-            store_link=store_link,
-            caller_link=self._link(
+            store_proxy=store_proxy,
+            caller_proxy=self._add_proxy(
                 listen=(f"{self._prefix}.3.{index + 1}", ports.caller),
                 target=(host, ports.caller),
             ),
             directory=self._directory,
-            seen=self._seen,
+            observations=self._observations,
         )
 
     def _connect_peers(self):
         for node in self.nodes:
-            for other in self.nodes:
-                same = node.settings.place.region == (
-                    other.settings.place.region
+            for peer in self.nodes:
+                same_region = node.settings.place.region == (
+                    peer.settings.place.region
                 )
-                if other is node or not same:
+                if peer is node or not same_region:
                     continue
-                host = other.settings.host
-                node.peer_links[other.name] = self._link(
+                host = peer.settings.host
+                node.peer_proxies[peer.name] = self._add_proxy(
                     listen=(host, node.settings.peer_ports[0]),
-                    target=(host, other.settings.peer_ports[0]),
+                    target=(host, peer.settings.peer_ports[0]),
                 )
--- a/wigeonrouter/soak/_records.py
+++ b/wigeonrouter/soak/_records.py
@@ -1,4 +1,7 @@
-"""What the soak saw, and what it did. Times are monotonic seconds."""
+"""Records of what a soak run observed and of the faults that it injected.
+
+All times are seconds on the monotonic clock.
+"""
 
 import dataclasses
 import enum
@@ -8,25 +11,25 @@
     """How a request ended for its caller."""
 
     ANSWERED = "answered"
-    # The connection ended without a whole answer.
+    # The connection failed before the response was complete.
     BROKEN = "broken"
     TIMEOUT = "timeout"
-    # The caller left on purpose.
+    # The caller disconnected on purpose before the response.
     LEFT = "left"
-    # No connection was made, or nothing was sent.
+    # The connection attempt failed, or no byte was sent.
     NOT_SENT = "not sent"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Request:
-    """A request as its caller saw it.
+    """A request and its outcome, as observed by its caller.
 
     Attributes:
-      node: name of the node that got it.
-      target: path, unique for each request.
-      patience: seconds that the caller waits.
-      timeout: seconds that the operator allows.
-      reply: platform Reply, None where there was none.
+      node: name of the node that the request was sent to.
+      target: request path, unique for each request.
+      patience: timeout of the caller in seconds.
+      timeout: timeout of the route in seconds, set by the operator.
+      reply: CallerResponse, None if no complete response arrived.
     """
 
     request_id: str
@@ -43,8 +46,8 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Run:
-    """A request that a backend server began to work on."""
+class Execution:
+    """A request that a backend server started to execute."""
 
     request_id: str
     instance: str
@@ -54,8 +57,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Leaving:
-    """A backend server that was written down as leaving."""
+class Drain:
+    """The drain of a backend server.
+
+    Attributes:
+      instance: instance id of the backend server.
+      acknowledged: time at which the store accepted its registration in
+        the draining state.
+    """
 
     instance: str
     acknowledged: float
@@ -63,13 +72,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Probe:
-    """A request that shows which configuration a node has.
+    """A request that shows which configuration version a node applies.
 
     Attributes:
-      version: the version that first had its route.
-      acknowledged: when the store took that version.
-      incarnation: number of the node's process.
-      found: whether the node had the route; None without an answer.
+      version: first configuration version that contains the probed route.
+      acknowledged: time at which the store accepted that version.
+      incarnation: how many times the node's process has been started.
+      found: whether the node knew the route; None if unknown because the
+        probe got no usable response.
     """
 
     node: str
@@ -82,12 +92,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Exit:
-    """A node process that ended.
+    """The exit of a node process.
 
     Attributes:
-      started: when it was started.
-      stopped: when it was asked to stop, None where it was not.
-      killed: whether the soak killed it.
+      started: time at which the process was started.
+      code: exit code, or the negated number of the signal that ended it.
+      stopped: time of the first SIGTERM, None if none was sent.
+      killed: whether the soak test sent SIGKILL.
     """
 
     node: str
@@ -99,52 +110,59 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Trouble:
-    """A time in which something was disturbed.
+class FaultPeriod:
+    """A period in which an injected fault affected a node or backend server.
 
     Attributes:
-      name: of a node or backend server, "" for all nodes.
-      planned: whether it was a stop by SIGTERM.
+      name: name of the node or backend server, "" for all of them.
+      graceful_stop: whether the fault was a stop by SIGTERM.
     """
 
     name: str
     began: float
     ended: float
-    planned: bool = False
+    graceful_stop: bool = False
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Violation:
-    """A promise that was not kept."""
+    """A violation of an invariant.
+
+    Attributes:
+      invariant: short description of the violated invariant.
+      detail: the records that show the violation, as text.
+    """
 
-    promise: str
+    invariant: str
     detail: str
 
 
 @dataclasses.dataclass(kw_only=True)
 class Observations:
-    """All that was seen in one run.
+    """All observations of one soak run.
 
     Attributes:
-      arrivals: (time, request id, service) of all that reached a server.
-      allowed: dict from a route's name to all services that any version of
-        the configuration sent it to.
-      work_ended: dict from (request id, instance) to when its work was over.
-      calm_from: time at which all troubles were over.
+      arrivals: list of (time, request id, service), one for each request that
+        reached a backend server.
+      allowed_services: dict from a route name to the set of services that
+        any version of the configuration routes it to.
+      execution_ended_at: dict from (request id, instance) to the time at
+        which the execution ended.
+      faults_over_at: time at which all injected faults had ended.
     """
 
     requests: list = dataclasses.field(default_factory=list)
-    runs: list = dataclasses.field(default_factory=list)
+    executions: list = dataclasses.field(default_factory=list)
     arrivals: list = dataclasses.field(default_factory=list)
-    work_ended: dict = dataclasses.field(default_factory=dict)
-    leaving: list = dataclasses.field(default_factory=list)
+    execution_ended_at: dict = dataclasses.field(default_factory=dict)
+    drains: list = dataclasses.field(default_factory=list)
     probes: list = dataclasses.field(default_factory=list)
     exits: list = dataclasses.field(default_factory=list)
-    troubles: list = dataclasses.field(default_factory=list)
-    allowed: dict = dataclasses.field(default_factory=dict)
-    calm_from: float = 0.0
+    fault_periods: list = dataclasses.field(default_factory=list)
+    allowed_services: dict = dataclasses.field(default_factory=dict)
+    faults_over_at: float = 0.0
 
-    def allow(self, route):
-        """Note that a topology.Route is part of a configuration."""
-        services = self.allowed.setdefault(route.name, set())
+    def record_route(self, route):
+        """Add the services of a topology.Route to the allowed ones."""
+        services = self.allowed_services.setdefault(route.name, set())
         services.update(share.service for share in route.shares)
--- a/wigeonrouter/soak/_run.py
+++ b/wigeonrouter/soak/_run.py
@@ -1,4 +1,4 @@
-"""Plays one seeded run: a fleet, its callers, and a plan of troubles."""
+"""Executes one seeded run: a fleet, its callers, and a plan of faults."""
 
 import dataclasses
 import os
@@ -10,31 +10,36 @@
 from wigeonrouter import core
 from wigeonrouter.soak import _callers
 from wigeonrouter.soak import _checks
+from wigeonrouter.soak import _environment
+from wigeonrouter.soak import _faults
 from wigeonrouter.soak import _fleet
 from wigeonrouter.soak import _records
-from wigeonrouter.soak import _scene
-from wigeonrouter.soak import _troubles
-
-_START_S = 3.0
-# The last troubles have to be over before the end is looked at.
-_CALM_S = _checks.RECOVERY_S + 3.0
-_TROUBLE_S = 8.0
-# Ports below those that the system takes for outgoing connections.
-_PORTS = (10_000, 30_000)
+
+_STARTUP_S = 3.0
+# Callers go on after the last fault for as long as recovery may take, plus
+# 3 s in which the requests for the recovery check are sent.
+_RECOVERY_OBSERVATION_S = _checks.RECOVERY_TIME_S + 3.0
+_FAULT_JOIN_TIMEOUT_S = 8.0
+# Range below the ephemeral ports, which the system assigns to outgoing
+# connections.
+_PORT_RANGE = (10_000, 30_000)
 _NODES_PER_SERVER = 6
-_SERIES = (1, 1, 1, 2, 4)
-_GAP_S = (0.2, 2.0)
+# Number of faults of the same kind in a series, chosen uniformly.
+_SERIES_LENGTHS = (1, 1, 1, 2, 4)
+_SERIES_GAP_S = (0.2, 2.0)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Size:
-    """How large a run is.
+    """Size of a soak run.
 
     Attributes:
-      seconds: time in which troubles begin.
-      servers: least number of backend servers of a service in a failure
-        domain; there are more of them where there are many nodes.
-      pause: mean seconds between two troubles.
+      nodes: number of node processes.
+      callers: number of concurrent callers.
+      seconds: duration of the period in which faults are started.
+      servers: minimum number of backend servers of a service in each failure
+        domain; runs with many nodes use more.
+      pause: mean interval between two series of faults, in seconds.
     """
 
     nodes: int = 6
@@ -46,7 +51,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Planned:
-    """A trouble that begins some seconds after the start."""
+    """A fault that is part of the plan of a run.
+
+    Attributes:
+      at: start of the fault, in seconds after the start of fault injection.
+      kind: name of the function that injects it.
+      seed: seed of the random generator that this function gets.
+    """
 
     at: float
     kind: str
@@ -54,9 +65,9 @@
 
 
 def make_plan(seed, size):
-    """Return the tuple of Planned that a seed stands for."""
+    """Return the tuple of Planned that a seed determines for a Size."""
     rng = random.Random(seed)
-    kinds = sorted(_troubles.kinds())
+    kinds = sorted(_faults.kinds())
     plan = []
     at = 0.0
     while True:
@@ -64,84 +75,88 @@
         if at > size.seconds:
             return tuple(plan)
         kind = rng.choice(kinds)
-        later = at
-        for _ in range(rng.choice(_SERIES)):
+        at_in_series = at
+        for _ in range(rng.choice(_SERIES_LENGTHS)):
             plan.append(
-                Planned(at=later, kind=kind, seed=rng.randrange(1 << 30))
+                Planned(
+                    at=at_in_series, kind=kind, seed=rng.randrange(1 << 30)
+                )
             )
-            later += rng.uniform(*_GAP_S)
+            at_in_series += rng.uniform(*_SERIES_GAP_S)
 
 
-def play(seed, size, directory):
-    """Play a seed.
+def run_seed(seed, size, directory):
+    """Execute the run that a seed determines.
 
     Returns:
-      A pair: Observations, list of Violation.
+      A pair of Observations and the list of Violations found in them.
     """
     rng = random.Random(seed)
-    seen = _records.Observations()
-    scene = _scene.Scene(
+    observations = _records.Observations()
+    environment = _environment.Environment(
         servers_per_domain=max(size.servers, size.nodes // _NODES_PER_SERVER),
-        seen=seen,
+        observations=observations,
         rng=random.Random(seed),
     )
-    scene.sender = _callers.Sender(
-        routes=scene.routes, seen=seen, rng=random.Random(seed)
+    environment.sender = _callers.Sender(
+        routes=environment.routes,
+        observations=observations,
+        rng=random.Random(seed),
     )
-    scene.fleet = _make_fleet(scene, size, directory)
+    environment.fleet = _make_fleet(environment, size, directory)
     tasks = []
     try:
-        scene.fleet.start()
-        gevent.sleep(_START_S)
-        tasks = _start_callers(scene, size, rng)
-        tasks.append(gevent.spawn(scene.watch_configuration))
-        _cause(scene, make_plan(seed, size))
-        seen.calm_from = time.monotonic()
-        gevent.sleep(_CALM_S)
+        environment.fleet.start()
+        gevent.sleep(_STARTUP_S)
+        tasks = _start_callers(environment, size, rng)
+        tasks.append(gevent.spawn(environment.probe_configuration))
+        _inject_faults(environment, make_plan(seed, size))
+        observations.faults_over_at = time.monotonic()
+        gevent.sleep(_RECOVERY_OBSERVATION_S)
     finally:
         gevent.killall(tasks)
-        # What ends with the run says nothing.
-        seen.troubles.append(
-            _records.Trouble(
+        # Requests that are cut off by the end of the run are no violations.
+        observations.fault_periods.append(
+            _records.FaultPeriod(
                 name="", began=time.monotonic(), ended=float("inf")
             )
         )
-        scene.fleet.stop()
-        scene.collect()
-        scene.stop()
-    return seen, _checks.find_violations(seen)
+        environment.fleet.stop()
+        environment.collect_observations()
+        environment.stop()
+    return observations, _checks.find_violations(observations)
 
 
-def _make_fleet(scene, size, directory):
-    chosen = random.Random(os.getpid())
-    base = chosen.randrange(*_PORTS, 1000)
-    port = int(scene.store.address.partition(":")[2])
+def _make_fleet(environment, size, directory):
+    port_rng = random.Random(os.getpid())
+    first_port = port_rng.randrange(*_PORT_RANGE, 1000)
+    port = int(environment.store.address.partition(":")[2])
     return _fleet.Fleet(
-        domains=_scene.DOMAINS,
+        domains=_environment.DOMAINS,
         size=size.nodes,
         prefix=f"127.{10 + os.getpid() % 200}",
         ports=_fleet.Ports(
-            caller=base,
-            readiness=base + 1,
-            directory=base + 2,
-            control=base + 3,
-            first_peer=base + 10,
+            caller=first_port,
+            readiness=first_port + 1,
+            directory=first_port + 2,
+            control=first_port + 3,
+            first_peer=first_port + 10,
         ),
         store_address=core.Address(host="127.0.0.1", port=port),
         directory=directory,
-        seen=scene.seen,
+        observations=environment.observations,
     )
 
 
-def _start_callers(scene, size, rng):
-    domains = sorted(_scene.DOMAINS)
+def _start_callers(environment, size, rng):
+    domains = sorted(_environment.DOMAINS)
     return [
         gevent.spawn(
             _callers.Caller(
-                fleet=scene.fleet,
-                place=_scene.place_of(domains[index % len(domains)]),
-                host=_scene.HOST,
-                sender=scene.sender,
+                fleet=environment.fleet,
+                place=_environment.get_place(domains[index % len(domains)]),
+                host=_environment.HOST,
+                sender=environment.sender,
                 rng=random.Random(rng.randrange(1 << 30)),
             ).run
         )
@@ -149,17 +164,17 @@
     ]
 
 
-def _cause(scene, plan):
-    """Cause all planned troubles and wait until they are over."""
-    kinds = _troubles.kinds()
-    began = time.monotonic()
+def _inject_faults(environment, plan):
+    """Inject all planned faults and wait until they are over."""
+    kinds = _faults.kinds()
+    started = time.monotonic()
     tasks = []
     for planned in sorted(plan, key=lambda planned: planned.at):
-        gevent.sleep(max(0.0, began + planned.at - time.monotonic()))
+        gevent.sleep(max(0.0, started + planned.at - time.monotonic()))
         tasks.append(
             gevent.spawn(
-                kinds[planned.kind], scene, random.Random(planned.seed)
+                kinds[planned.kind], environment, random.Random(planned.seed)
             )
         )
-    gevent.joinall(tasks, timeout=_TROUBLE_S, raise_error=True)
-    scene.fleet.heal()
+    gevent.joinall(tasks, timeout=_FAULT_JOIN_TIMEOUT_S, raise_error=True)
+    environment.fleet.clear_faults()
--- a/wigeonrouter/soak/main.py
+++ b/wigeonrouter/soak/main.py
@@ -1,6 +1,6 @@
-"""The command that plays seeds and prints which promises were broken.
+"""Command that runs seeded soak tests and prints invariant violations.
 
-Exit codes: 0 if all were kept, 1 if one was broken.
+Exit codes: 0 if all invariants held, 1 if one was violated.
 """
 
 from gevent import monkey
@@ -16,7 +16,7 @@
 
 from wigeonrouter.soak import _run  # noqa: E402
 
-_SHOWN = 3
+_MAX_SHOWN_VIOLATIONS = 3
 REGRESSIONS = pathlib.Path(__file__).parent / "regressions.json"
 
 
@@ -27,11 +27,15 @@
 @click.option("--callers", default=_run.Size().callers)
 @click.option("--seconds", default=_run.Size().seconds)
 @click.option(
-    "--regressions", is_flag=True, help="Play the seeds that once failed."
+    "--regressions",
+    is_flag=True,
+    help="Run the seeds that failed in the past.",
+)
+@click.option(
+    "--directory", required=True, help="Directory for logs and settings."
 )
-@click.option("--directory", required=True, help="For logs and settings.")
 def main(first, count, nodes, callers, seconds, regressions, directory):
-    """Play seeded runs of real node processes with troubles."""
+    """Run seeded soak tests of real node processes under injected faults."""
     size = _run.Size(nodes=nodes, callers=callers, seconds=seconds)
     cases = [(seed, size) for seed in range(first, first + count)]
     if regressions:
@@ -39,34 +43,39 @@
             (case["seed"], _run.Size(**case["size"]))
             for case in json.loads(REGRESSIONS.read_text("utf-8"))
         ]
-    broken = [
+    failed_seeds = [
         seed
         for seed, case_size in cases
-        if not _play(seed, case_size, directory)
+        if not _run_seed(seed, case_size, directory)
     ]
-    if broken:
-        print(f"promises broken with seeds {broken}")
+    if failed_seeds:
+        print(f"invariants violated with seeds {failed_seeds}")
         sys.exit(1)
 
 
-def _play(seed, size, directory):
+def _run_seed(seed, size, directory):
     folder = pathlib.Path(directory) / f"seed-{seed}"
     folder.mkdir(parents=True, exist_ok=True)
-    seen, violations = _run.play(seed, size, folder)
-    answered = collections.Counter(
-        r.reply.status if r.reply else r.end.value for r in seen.requests
+    observations, violations = _run.run_seed(seed, size, folder)
+    outcomes = collections.Counter(
+        r.reply.status if r.reply else r.end.value
+        for r in observations.requests
     )
     print(
-        f"seed {seed}: {len(seen.requests)} requests"
-        f" {dict(answered.most_common())}, {len(violations)} violations",
+        f"seed {seed}: {len(observations.requests)} requests"
+        f" {dict(outcomes.most_common())}, {len(violations)} violations",
         flush=True,
     )
-    counts = collections.Counter(found.promise for found in violations)
-    for promise, number in counts.items():
-        print(f"  {promise}: {number}")
-        same = [v for v in violations if v.promise == promise]
-        for found in same[:_SHOWN]:
-            print(f"    {found.detail}")
+    counts = collections.Counter(
+        violation.invariant for violation in violations
+    )
+    for invariant, number in counts.items():
+        print(f"  {invariant}: {number}")
+        violations_of_invariant = [
+            v for v in violations if v.invariant == invariant
+        ]
+        for violation in violations_of_invariant[:_MAX_SHOWN_VIOLATIONS]:
+            print(f"    {violation.detail}")
     (folder / "plan.txt").write_text(
         "\n".join(map(str, _run.make_plan(seed, size))) + "\n"
     )
--- a/wigeonrouter/soak/main_test.py
+++ b/wigeonrouter/soak/main_test.py
@@ -1,4 +1,4 @@
-"""A short seeded soak of real node processes."""
+"""Tests of the soak command, with a short seeded run of node processes."""
 
 import json
 import subprocess
@@ -13,8 +13,8 @@
 
 
 @pytest.mark.parametrize("seed", [101])
-def test_promises_hold_in_a_short_run(tmp_path, seed):
-    """Guards against a broken promise between real processes."""
+def test_invariants_hold_in_a_short_run(tmp_path, seed):
+    """Guards against violations that only occur between real processes."""
     done = subprocess.run(
         [
             sys.executable,
@@ -33,15 +33,15 @@
     assert done.returncode == 0, done.stdout + done.stderr
 
 
-def test_plan_follows_from_its_seed():
-    """Guards against a failed run that cannot be played again."""
+def test_seed_determines_the_plan():
+    """Guards against a failed run that cannot be reproduced by its seed."""
     size = _run.Size()
     assert _run.make_plan(7, size) == _run.make_plan(7, size)
     assert _run.make_plan(7, size) != _run.make_plan(8, size)
 
 
-def test_regressions_name_seed_and_cause():
-    """Guards against a list of seeds that says nothing."""
+def test_regressions_have_seed_cause_and_size():
+    """Guards against regression seeds whose cause or size is missing."""
     for case in json.loads(main.REGRESSIONS.read_text("utf-8")):
         assert isinstance(case["seed"], int) and case["cause"]
         assert _run.Size(**case["size"]).nodes
