--- a/wigeonrouter/membership/_gossip.py
+++ b/wigeonrouter/membership/_gossip.py
@@ -80,8 +80,8 @@
         self._rng = rng
         self._claim_handler = claim_handler
         self._clock = clock
-        # The instance tells a replaced daemon, which has lost its claimed
-        # request ids, from the old one.
+        # The instance distinguishes this process from a predecessor with the
+        # same id, whose claims of request ids are lost.
         self._claimant = f"{own.daemon_id}~{own.instance}"
         self._pause_listeners = []
         self._rounds = 0
--- a/wigeonrouter/membership/_schedule.py
+++ b/wigeonrouter/membership/_schedule.py
@@ -88,9 +88,9 @@
         self._rng.shuffle(peers)
         local = [peer for peer in peers if self._is_local(peer)]
         remote = [peer for peer in peers if not self._is_local(peer)]
-        chosen = local[: PUSH_FANOUT - 1] + remote[:1]
-        remaining = [peer for peer in peers if peer not in chosen]
-        return chosen + remaining[: PUSH_FANOUT - len(chosen)]
+        selected = local[: PUSH_FANOUT - 1] + remote[:1]
+        remaining = [peer for peer in peers if peer not in selected]
+        return selected + remaining[: PUSH_FANOUT - len(selected)]
 
     def _next_in_round(self, local):
         """Return the next member in the own region or in the other ones."""
--- a/wigeonrouter/membership/_table_test.py
+++ b/wigeonrouter/membership/_table_test.py
@@ -204,7 +204,7 @@
                 break
 
     @stateful.rule(partitioned=strategies.booleans())
-    def cut_regions(self, partitioned):
+    def partition_regions(self, partitioned):
         self.partitioned = partitioned
 
     @stateful.invariant()
@@ -242,11 +242,11 @@
             self._exchange(number, (number + 1) % _NODES, full=True)
         elif not self._exchange(number, int(peer.daemon_id[1:])):
             indirectly_reached = any(
-                self._reaches(number, int(h.daemon_id[1:]))
+                self._reaches(number, int(prober.daemon_id[1:]))
                 and self._reaches(
-                    int(h.daemon_id[1:]), int(peer.daemon_id[1:])
+                    int(prober.daemon_id[1:]), int(peer.daemon_id[1:])
                 )
-                for h in schedule.indirect_probers(peer.daemon_id)
+                for prober in schedule.indirect_probers(peer.daemon_id)
             )
             if not indirectly_reached:
                 table.suspect(peer.daemon_id, now=self.now)
