--- a/wigeonrouter/node/__init__.py
+++ b/wigeonrouter/node/__init__.py
@@ -1,4 +1,4 @@
-"""The program of an entry VM: serves callers of a deployment."""
+"""The process on an entry VM that balances the load of a deployment."""
 
 from wigeonrouter.node import _node
 
--- a/wigeonrouter/node/_balancer.py
+++ b/wigeonrouter/node/_balancer.py
@@ -1,7 +1,7 @@
-"""Gives the requests of one service to backend servers.
+"""Assigns the requests of one service to backend servers.
 
-Applies the decisions of `placement`: asks servers for their load, keeps
-waiting requests in order, and turns away what cannot be served.
+Applies the decisions of `placement`: probes servers for their load, queues
+requests by priority, and rejects requests that cannot be served in time.
 """
 
 import time
@@ -13,34 +13,34 @@
 from wigeonrouter.node import _server_pool
 from wigeonrouter.node import messages
 
-# A waiting request looks for a server again after this part of its work, even
-# when none of ours was released, but not more often than the least time.
+# A queued request looks for a server again after this share of its service
+# time, within the bounds below, because other nodes release slots unnoticed.
 _POLL_SHARE = 0.2
 _MIN_POLL_S = 0.012
 _MAX_POLL_S = 0.03
-# Time over which the requests of the service are counted.
+# Window over which the arrival rates of the service are measured.
 _ARRIVAL_WINDOW_S = 2.0
-# Time after which callers should return where no server is known.
+# Mean Retry-After of requests that are rejected because no server is known.
 _NO_SERVER_RETRY_S = 0.5
 
 
 class Balancer:
-    """Owns the waiting requests of one service.
+    """Owns the request queue of one service.
 
     Args:
-      servers: Servers of the service.
+      server_pool: ServerPool of the service.
       budget: placement.RetryBudget.
     """
 
-    def __init__(self, *, servers, budget, rng, clock=time.monotonic):
-        self._server_pool = servers
+    def __init__(self, *, server_pool, budget, rng, clock=time.monotonic):
+        self._server_pool = server_pool
         self._budget = budget
         self._rng = rng
         self._clock = clock
         self._queue = placement.RequestQueue()
         self._late_rate = placement.late_dispatch_rate()
         self._arrivals = placement.SlidingWindowRate(window=_ARRIVAL_WINDOW_S)
-        # Those that could still be in time when they came.
+        # Arrivals that could still meet their target latency.
         self._on_time_arrivals = placement.SlidingWindowRate(
             window=_ARRIVAL_WINDOW_S
         )
@@ -52,29 +52,31 @@
 
     @property
     def queue_length(self):
-        """Number of requests that wait for a server."""
+        """Number of requests that wait for a server in the queue."""
         return len(self._queue)
 
     @property
     def in_flight(self):
-        """Number of this node's requests at the servers."""
+        """Number of this node's requests in flight at the servers."""
         return self._server_pool.in_flight
 
-    def configure(self, *, health_path, known):
-        """Take over the servers that may get work; see Servers."""
-        self._server_pool.configure(health_path=health_path, known=known)
+    def configure(self, *, health_path, registered):
+        """Update the set of servers; see ServerPool.configure()."""
+        self._server_pool.configure(
+            health_path=health_path, registered=registered
+        )
         self._wake_head()
 
     def acquire(self, request, route):
-        """Wait for a server.
+        """Wait in the queue for a server.
 
         Args:
-          job: placement.PendingRequest.
+          request: placement.PendingRequest.
           route: topology.Route of the request.
         Returns:
-          Grant, which must be released, or dialect.Refused.
+          Grant, which must be released, or messages.Rejection.
         """
-        service_time = self._server_pool.times.service_time(route)
+        service_time = self._server_pool.service_times.service_time(route)
         now = self._clock()
         self._arrivals.record(now)
         if not placement.is_late(request, service_time=service_time, now=now):
@@ -111,15 +113,15 @@
     def release(
         self, grant, *, route, outcome, load, latency, timed_out=False
     ):
-        """Give a slot back and learn from how the attempt ended.
+        """Release a server's slot and record the outcome of the attempt.
 
         Args:
           grant: Grant.
           route: topology.Route of the request.
-          ended: placement.AttemptOutcome.
-          load: dialect.Load of the answer, or None.
-          latency: seconds from sending to the end.
-          late: whether it ended because no time was left.
+          outcome: placement.AttemptOutcome.
+          load: messages.ServerLoad of the response, or None.
+          latency: duration of the attempt, seconds.
+          timed_out: whether the attempt ended because its deadline passed.
         """
         self._server_pool.release(
             grant,
@@ -132,16 +134,17 @@
         self._wake_head()
 
     def misdirected(self, instance):
-        """Take over that another server answers at an address."""
+        """Remove a server whose address now belongs to another one."""
         self._server_pool.misdirected(instance)
 
     def _check_admission(self, request, service_time, now):
+        """Return the Rejection of a new request, None to admit it."""
         if not self._server_pool.has_servers:
             return self._reject_no_server()
         wait = placement.expected_wait(
             ahead=self._queue.count_ahead(request, service_time, now),
             service_time=service_time,
-            slowdown=self._server_pool.times.mean_slowdown,
+            slowdown=self._server_pool.service_times.mean_slowdown,
             slots=self._server_pool.slots,
         )
         if placement.should_reject(
@@ -151,12 +154,17 @@
         return self._check_late_admission(request, service_time, now)
 
     def _check_late_admission(self, request, service_time, now):
+        """Return the Rejection of a late request, None to keep it.
+
+        Late requests, which miss their target latency anyway, only get the
+        throughput that the on-time ones leave.
+        """
         if not placement.is_late(request, service_time=service_time, now=now):
             return None
         spare = placement.spare_throughput(
             slots=self._server_pool.slots,
             service_time=service_time,
-            slowdown=self._server_pool.times.mean_slowdown,
+            slowdown=self._server_pool.service_times.mean_slowdown,
             arrival_rate=self._on_time_arrivals.per_second(now),
         )
         wait = placement.expected_late_wait(
@@ -168,7 +176,7 @@
         return None
 
     def _check_still_admissible(self, request, service_time, now):
-        """Return the refusal of a request that waited in vain, if it did."""
+        """Return the Rejection of a queued request, None to keep it."""
         if not self._server_pool.has_servers:
             return self._reject_no_server()
         if placement.should_reject(
@@ -178,7 +186,7 @@
                 request, service_time, service_time, now
             )
         if now - request.target_time + service_time < 2 * _MAX_POLL_S:
-            # It has just become late; from now on it waits with the others.
+            # The request has just become late and joins the late ones.
             return self._check_late_admission(request, service_time, now)
         return None
 
@@ -193,25 +201,29 @@
             problem=core.problems.DEADLINE_TOO_SHORT,
             retry_after=placement.retry_after(wait=wait, rng=self._rng),
             detail=(
-                f"expected wait {wait * 1000:.0f} ms, work"
-                f" {service_time * 1000:.0f} ms,"
-                f" left {(request.deadline - now) * 1000:.0f} ms,"
-                f" {(request.target_time - now) * 1000:.0f} ms to the target,"
-                f" {len(self._queue)} waiting"
+                f"expected wait {wait * 1000:.0f} ms, service time"
+                f" {service_time * 1000:.0f} ms, time to deadline"
+                f" {(request.deadline - now) * 1000:.0f} ms, time to target"
+                f" {(request.target_time - now) * 1000:.0f} ms,"
+                f" {len(self._queue)} queued"
             ),
         )
 
     def _local_utilization(self):
-        """Return the share of the slots in use, 1 where requests wait.
+        """Return the utilization of the slots, 1.0 if requests are queued.
 
-        Only waiting requests that can still be in time count.
+        Only queued requests that can still meet their target latency count.
         """
         if len(self._queue) - self._queue.count_late(self._clock()) > 1:
             return 1.0
         return self._server_pool.utilization
 
     def _try_grant(self, request, service_time):
-        """Look for a server once; may ask servers for their load."""
+        """Try once to choose a server, probing some of them.
+
+        Returns:
+          Grant, None if the request has to wait.
+        """
         max_probes = placement.probe_count(
             self._arrivals.per_second(self._clock())
         )
@@ -226,7 +238,7 @@
             waiting = placement.utility_of_waiting(
                 request=request,
                 service_time=service_time,
-                mean_slowdown=self._server_pool.times.mean_slowdown,
+                mean_slowdown=self._server_pool.service_times.mean_slowdown,
                 now=now,
                 ahead=self._queue.count_ahead(request, service_time, now) - 1,
                 slots=self._server_pool.slots,
@@ -239,10 +251,11 @@
         return None
 
     def _choose_remote(self, request, service_time):
-        """Look for a server in another region.
+        """Choose a server in another region.
 
-        Asking there takes long, so that reports are kept fresh by a task
-        while the own region is short of room.
+        A remote probe takes tens of milliseconds, so a background task keeps
+        the reports fresh while the own region has too few free slots. Only
+        without any local server are remote ones probed for each request.
         """
         if not self._server_pool.remote:
             return placement.Pick(view=None)
@@ -254,29 +267,33 @@
             self._server_pool.remote_with_fresh_reports(),
             request=request,
             service_time=service_time,
-            mean_slowdown=self._server_pool.times.mean_slowdown,
+            mean_slowdown=self._server_pool.service_times.mean_slowdown,
             now=self._clock(),
             utilization=1.0,
         )
 
     def _probe_and_choose(self, request, service_time, max_probes, *, remote):
-        """Ask some servers, and choose among all near or all far ones."""
-        servers = self._server_pool
+        """Probe some servers, then choose among all local or remote ones.
+
+        Returns:
+          placement.Pick.
+        """
+        server_pool = self._server_pool
         candidates = placement.probe_candidates(
-            servers.remote if remote else servers.local,
+            server_pool.remote if remote else server_pool.local,
             request=request,
             service_time=service_time,
-            mean_slowdown=servers.times.mean_slowdown,
+            mean_slowdown=server_pool.service_times.mean_slowdown,
             now=self._clock(),
             max_servers=max_probes,
         )
         if candidates:
-            servers.probe(candidates, remote=remote)
+            server_pool.probe(candidates, remote=remote)
         return placement.choose(
-            servers.remote if remote else servers.local,
+            server_pool.remote if remote else server_pool.local,
             request=request,
             service_time=service_time,
-            mean_slowdown=servers.times.mean_slowdown,
+            mean_slowdown=server_pool.service_times.mean_slowdown,
             now=self._clock(),
             utilization=self._local_utilization(),
         )
--- a/wigeonrouter/node/_channel.py
+++ b/wigeonrouter/node/_channel.py
@@ -1,4 +1,4 @@
-"""Sends and receives messages between nodes over one TCP connection."""
+"""Length-prefixed messages between nodes over a TCP connection."""
 
 import struct
 
@@ -13,11 +13,11 @@
 
 
 class ChannelClosed(Exception):
-    """The other side is gone, silent, or sent what is no message."""
+    """The peer disconnected, timed out, or sent a malformed message."""
 
 
 class Channel:
-    """One connection; one task reads and one writes at a time."""
+    """One connection; at most one task reads and one writes at a time."""
 
     def __init__(self, *, sock):
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -27,11 +27,13 @@
         """Send a PeerMessage.
 
         Raises:
-          ChannelClosed: the other side did not take it in time.
+          ChannelClosed: the message was not sent within `timeout` seconds.
         """
         data = message.SerializeToString()
         try:
-            with gevent.Timeout(timeout, TimeoutError("peer takes nothing")):
+            with gevent.Timeout(
+                timeout, TimeoutError("send to peer timed out")
+            ):
                 self._sock.sendall(_LENGTH_PREFIX.pack(len(data)) + data)
         except OSError as error:
             raise ChannelClosed(str(error)) from error
@@ -40,21 +42,26 @@
         """Return the next PeerMessage.
 
         Raises:
-          ChannelClosed: there was none in time.
+          ChannelClosed: none arrived within `timeout` seconds, or it was
+            malformed or too large.
         """
         try:
-            with gevent.Timeout(timeout, TimeoutError("peer is silent")):
+            with gevent.Timeout(
+                timeout, TimeoutError("no message from peer in time")
+            ):
                 (length,) = _LENGTH_PREFIX.unpack(
                     self._read(_LENGTH_PREFIX.size)
                 )
                 if length > _MAX_MESSAGE_BYTES:
-                    raise ChannelClosed(f"message of {length} bytes")
+                    raise ChannelClosed(
+                        f"message of {length} bytes is too large"
+                    )
                 return node_pb2.PeerMessage.FromString(self._read(length))
         except (OSError, protobuf_message.DecodeError) as error:
             raise ChannelClosed(str(error)) from error
 
     def close(self):
-        """Close the connection."""
+
         self._sock.close()
 
     def _read(self, length):
@@ -71,7 +78,7 @@
     """Return a Channel to a peer.
 
     Raises:
-      ChannelClosed: no connection was made in time.
+      ChannelClosed: connecting failed or took longer than `timeout` seconds.
     """
     try:
         sock = socket.create_connection((host, port), timeout=timeout)
--- a/wigeonrouter/node/_cluster_state.py
+++ b/wigeonrouter/node/_cluster_state.py
@@ -1,7 +1,7 @@
-"""What is in force on a node: the configuration and the backend servers.
+"""The configuration, backend servers and nodes that a node knows of.
 
-Applies records of the store in order. The configuration never goes back to
-an older version, and unreadable records harm no other.
+Applies store records in order. The configuration never reverts to an older
+version, and an unreadable record does not affect the others.
 """
 
 import time
@@ -12,10 +12,15 @@
 
 
 class ClusterState:
-    """Owns the configuration in force and the server directory."""
+    """Owns the configuration in force and the server directory.
+
+    Args:
+      events: events.EventLog.
+      on_change: called without arguments after each change.
+    """
 
     def __init__(self, *, events, on_change, clock=time.monotonic):
-        """Call `on_change` without arguments after each change."""
+
         self._events = events
         self._on_change = on_change
         self._clock = clock
@@ -24,11 +29,11 @@
         self._routes = topology.RouteTable(())
         self._directory = topology.ServerDirectory()
         self._hosts = {}
-        self._usual_waits = {}
+        self._caller_timeouts = {}
 
     @property
     def configuration(self):
-        """topology.Configuration in force, None at first."""
+        """topology.Configuration in force, None until one is known."""
         return self._configuration
 
     @property
@@ -37,9 +42,9 @@
         return self._routes
 
     @property
-    def usual_waits(self):
-        """Dict from route to how long its callers usually wait, seconds."""
-        return self._usual_waits
+    def caller_timeouts(self):
+        """Dict from route to its callers' usual timeout, seconds."""
+        return self._caller_timeouts
 
     @property
     def directory(self):
@@ -47,23 +52,23 @@
         return self._directory
 
     def wait_configured(self, timeout):
-        """Wait until a configuration is in force, some seconds at most."""
+        """Wait for a configuration, for at most `timeout` seconds."""
         self._configured.wait(timeout=timeout)
 
     def hosts(self, region):
-        """Return the hosts of the nodes that registered in a region."""
+        """Return the frozenset of hosts registered as nodes of a region."""
         return frozenset(self._hosts.get(region, ()))
 
     def on_outage(self):
-        """Take over that the store does not answer."""
+        """Record that the store is unreachable."""
         self._directory.on_outage()
 
     def on_contact(self):
-        """Take over that the store answers."""
+        """Record that the store is reachable."""
         self._directory.on_contact(self._clock())
 
     def apply(self, content):
-        """Take over what lies in the store (topology.StoreContent)."""
+        """Apply the store's records or changes (topology.StoreContent)."""
         now = self._clock()
         if content.whole:
             self._hosts = {}
@@ -77,7 +82,7 @@
         self._on_change()
 
     def expire_servers(self):
-        """Forget what has lapsed for good."""
+        """Remove servers whose lapsed registrations were not renewed."""
         if self._directory.expire(self._clock()):
             self._events.notice("lapsed-servers-forgotten")
             self._on_change()
@@ -97,7 +102,7 @@
         elif isinstance(record, topology.NodeWritten):
             self._hosts.setdefault(record.region, set()).add(record.host)
         elif isinstance(record, topology.WaitLearned):
-            self._usual_waits[record.route] = record.seconds
+            self._caller_timeouts[record.route] = record.seconds
         elif isinstance(record, topology.NodeRemoved):
             self._hosts.get(record.region, set()).discard(record.host)
         elif isinstance(record, topology.ConfigurationRejected):
@@ -130,9 +135,9 @@
 
     def _apply_registration(self, record, now):
         registration = record.registration
-        before = self._directory.known.get(registration.instance)
+        previous = self._directory.known.get(registration.instance)
         accepted = self._directory.put(registration, now)
-        if before is not None and before.registration == registration:
+        if previous is not None and previous.registration == registration:
             return
         self._events.notice(
             "server-registered" if accepted else "registration-outdated",
@@ -153,7 +158,7 @@
 
 
 def _removed_instances(records):
-    """Return the instances whose last record is their removal."""
+    """Return the instances whose last record is a removal."""
     last = {}
     for record in records:
         if isinstance(record, topology.RegistrationWritten):
--- a/wigeonrouter/node/_directory_handler.py
+++ b/wigeonrouter/node/_directory_handler.py
@@ -1,4 +1,4 @@
-"""Answers callers that ask which entry to use, and whether one is ready."""
+"""Serves the entry directory and the readiness check of a node."""
 
 from urllib import parse
 
@@ -12,10 +12,12 @@
     """Handles requests on the directory and readiness addresses.
 
     Args:
-      choose: function from a dialect.EntryQuery to a tuple of addresses.
-      is_ready: function without arguments.
-      lifetime: function that returns how long an answer may be kept, in
-        seconds.
+      codec: the adapter's HTTP codec.
+      choose_entries: function from a messages.EntryQuery to a tuple of
+        core.Address, empty where no entry is ready.
+      is_ready: function without arguments that returns a bool.
+      ttl: function that returns how long callers may cache a response,
+        in seconds.
     """
 
     def __init__(self, *, codec, choose_entries, is_ready, ttl):
@@ -25,11 +27,11 @@
         self._ttl = ttl
 
     def body_limit(self, request):
-        """Return the largest accepted body in bytes."""
+        """Return the maximum request body size in bytes."""
         return _MAX_BODY_BYTES
 
     def handle(self, request, arrived):
-        """Answer one request with an HttpResponse."""
+        """Return the HttpResponse for a directory or readiness request."""
         path, _, text = request.target.decode("latin-1").partition("?")
         if self._codec.is_readiness_path(path):
             return self._codec.render_readiness(ready=self._is_ready())
--- a/wigeonrouter/node/_hub.py
+++ b/wigeonrouter/node/_hub.py
@@ -1,4 +1,9 @@
-"""Serves the followers of a hub: store changes, the roster, a pulse."""
+"""The hub's side of replication within a region.
+
+The hub is the region's leader: it alone reads the store. It sends store
+changes, the roster (the list of the region's nodes) and heartbeats to its
+followers.
+"""
 
 import time
 
@@ -9,12 +14,14 @@
 from wigeonrouter.schema import node_pb2
 
 HEARTBEAT_INTERVAL_S = 0.4
-# Many nodes join at the same time; each roster names all of them.
+# Delay before a changed roster is sent. Many nodes may join at the same time
+# and each roster lists all of them, so changes are sent in batches.
 _ROSTER_BATCH_DELAY_S = 0.05
-# A peer that sends nothing for this time is taken to be dead.
+# A peer that sends no message for this time is considered dead.
 PEER_TIMEOUT_S = 1.2
 _SEND_TIMEOUT_S = 1.0
-# A follower that lags by more messages is dropped, and joins again.
+# A follower whose send queue exceeds this length is disconnected and has to
+# join again.
 _MAX_QUEUED_MESSAGES = 500
 
 
@@ -32,14 +39,15 @@
 
 
 class Hub:
-    """Owns the followers of this node while it is the hub.
+    """Manages the followers of this node while it is the hub.
 
     Args:
-      mirror: Mirror.
+      store_cache: StoreCache.
       own_state: function that returns this node's NodeState.
       on_roster: called with a list of NodeState after each change.
-      before: NodeStates that were known before this node became the hub;
-        they have some time to join.
+      expected_members: NodeStates that were known before this node became
+        the hub; they stay in the roster for PEER_TIMEOUT_S so that they
+        have time to join.
     """
 
     def __init__(
@@ -60,13 +68,13 @@
             state.host: state for state in expected_members
         }
         self._expected_until = clock() + PEER_TIMEOUT_S
-        self._store_answers = True
+        self._store_reachable = True
         self._roster_task = None
 
-    def set_store_answers(self, answers):
-        """Take over whether the store answers, and tell the followers."""
-        if answers != self._store_answers:
-            self._store_answers = answers
+    def set_store_reachable(self, reachable):
+        """Record whether the store is reachable and notify the followers."""
+        if reachable != self._store_reachable:
+            self._store_reachable = reachable
             self.send_heartbeat()
 
     def roster(self):
@@ -81,7 +89,12 @@
         return [members[host] for host in sorted(members)]
 
     def serve(self, channel, join):
-        """Serve one follower until it goes; called by its own task."""
+        """Serve one follower until it disconnects, in the calling task.
+
+        Args:
+          channel: Channel to the follower.
+          join: the follower's Join message.
+        """
         follower = _Follower(state=join.state)
         host = join.state.host
         self._followers[host] = follower
@@ -112,11 +125,14 @@
                 self.broadcast_roster()
 
     def broadcast_update(self, update):
-        """Pass an Update on to all followers."""
+        """Send an Update to all followers."""
         self._broadcast(node_pb2.PeerMessage(update=update))
 
     def broadcast_roster(self):
-        """Tell all followers soon who is there, this node at once."""
+        """Publish the roster, to followers after a short batching delay.
+
+        This node's own `on_roster` is called immediately.
+        """
         self._on_roster(self.roster())
         if self._roster_task is None or self._roster_task.ready():
             self._roster_task = gevent.spawn_later(
@@ -124,17 +140,25 @@
             )
 
     def send_heartbeat(self, *, leaving=False):
-        """Show all followers that this hub lives."""
+        """Send a heartbeat to all followers.
+
+        Args:
+          leaving: whether the followers should choose another hub.
+        """
         self._broadcast(self._heartbeat_message(leaving=leaving))
 
     def run_heartbeats(self):
-        """Send a pulse at intervals until the task is killed."""
-        expecting = bool(self._expected_members)
+        """Send heartbeats until the task is killed.
+
+        Also publishes the roster when the expected members that did not
+        join are dropped from it.
+        """
+        expecting_members = bool(self._expected_members)
         while True:
             gevent.sleep(HEARTBEAT_INTERVAL_S)
             self.send_heartbeat()
-            if expecting and self._clock() >= self._expected_until:
-                expecting = False
+            if expecting_members and self._clock() >= self._expected_until:
+                expecting_members = False
                 self.broadcast_roster()
 
     def _send_roster(self):
@@ -143,7 +167,7 @@
     def _heartbeat_message(self, *, leaving=False):
         return node_pb2.PeerMessage(
             pulse=node_pb2.Pulse(
-                store_answers=self._store_answers, leaving=leaving
+                store_answers=self._store_reachable, leaving=leaving
             )
         )
 
--- a/wigeonrouter/node/_metrics.py
+++ b/wigeonrouter/node/_metrics.py
@@ -1,4 +1,4 @@
-"""Counts requests, and serves the metrics of a node."""
+"""Request metrics of a node and the HTTP handler that exposes them."""
 
 import dataclasses
 
@@ -11,7 +11,7 @@
 
 
 class MetricsHandler:
-    """Handles requests on the control address.
+    """Serves the metrics on the control address.
 
     Args:
       metrics: observability.Metrics.
@@ -23,11 +23,11 @@
         self._read_gauges = read_gauges
 
     def body_limit(self, request):
-        """Return the largest accepted body in bytes."""
+        """Return the maximum request body size in bytes."""
         return _MAX_BODY_BYTES
 
     def handle(self, request, arrived):
-        """Answer one request with an HttpResponse."""
+        """Return the metrics, or a 404 response for any other path."""
         path = request.target.decode("latin-1").partition("?")[0]
         if path != _PATH:
             return http1.HttpResponse(
@@ -45,25 +45,31 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RequestMetrics:
-    """Counts requests by service, route and host."""
+    """Records finished requests by service, route and host.
+
+    All latencies are in seconds, from the arrival of the request on.
+    """
 
     metrics: observability.Metrics
 
     def record_response(self, *, service, route, status, latency):
-        """Count a request that got a backend server's answer."""
+        """Record a request that got a backend server's response."""
         outcome = core.Outcome.OK if status < 500 else core.Outcome.FAILED
         self._observe(service, route, outcome, "", latency)
 
     def record_rejection(self, *, service, route, problem, latency):
-        """Count a request that ended with a core.ProblemType.
+        """Record a request that the node rejected or failed.
 
         Args:
-          route: topology.Route, None where the request has none.
+          service: name of the service, empty if no route matched.
+          route: topology.Route, None if no route matched.
+          problem: core.ProblemType.
+          latency: seconds.
         """
         self._observe(service, route, problem.outcome, problem.name, latency)
 
-    def record_caller_gone(self, *, service, route, latency):
-        """Count a request whose caller has gone."""
+    def record_caller_disconnect(self, *, service, route, latency):
+        """Record a request whose caller disconnected before the response."""
         self._observe(
             service, route, core.Outcome.UNKNOWN, "caller-gone", latency
         )
--- a/wigeonrouter/node/_node.py
+++ b/wigeonrouter/node/_node.py
@@ -1,4 +1,4 @@
-"""Wires the parts of a node together and owns their life cycle."""
+"""Connects the components of a node and manages their life cycle."""
 
 import collections
 import os
@@ -24,39 +24,43 @@
 from wigeonrouter.node import _server_pool
 
 _HOUSEKEEPING_INTERVAL_S = 0.25
-# Connections to backend servers are kept for this time without use.
+# Idle connections to backend servers are closed after this time.
 _MAX_BACKEND_IDLE_S = 8.0
-# What was learned of callers is written about this often, if it changed.
-_WAITS_WRITE_INTERVAL_S = 5.0
+# Mean interval between writes of changed caller timeouts to the store.
+_TIMEOUTS_WRITE_INTERVAL_S = 5.0
 _MAX_CALLER_CONNECTIONS = 3_000
-# Callers ask again after this time. Some keep an answer three times as long,
-# and a stopping node has to be out of all answers in time.
+# TTL of directory responses. Some callers cache a response for three times as
+# long, and a stopping node has to be out of all cached ones in time.
 _ENTRIES_TTL_S = 1.0
-# Callers that asked before the stop still come for this part of the grace.
+# Share of the stop grace during which a stopping node still accepts requests,
+# because callers with a cached directory response still send some.
 _ACCEPT_GRACE_SHARE = 0.7
+# Share of the stop grace after which the node exits, finished or not.
 _DRAIN_GRACE_SHARE = 0.95
 _STOP_POLL_INTERVAL_S = 0.02
-# Callers that ask a node which has just started wait for its configuration.
+# A directory request to a node that has just started waits this long for the
+# configuration.
 _STARTUP_WAIT_S = 0.4
-# Settings that a running node takes over.
+# Settings that a running node can change.
 _RELOADABLE_SETTINGS = frozenset(
     {"bounds", "capacity", "heartbeat", "regions", "seeds"}
 )
-# Nodes of a region that serve the callers of one service.
+# Nodes of a region that serve the callers of one service (its homes).
 _HOMES_PER_SERVICE = 1
-# Share of the retry budget that is used, for requests whose counting
-# differs at the edges of a window.
+# Share of the retry budget that nodes use. The rest is a margin for requests
+# that are counted in another window than by the observer of the budget.
 _RETRY_BUDGET_SHARE = 0.9
 
 
 class Node:
-    """One process on an entry VM.
+    """The load balancer process on an entry VM.
 
     Args:
       settings: topology.NodeSettings.
-      feed: adapter's view of the store.
-      wire: adapter's dialect.
+      feed: the adapter's interface to the store.
+      codec: the adapter's HTTP codec.
       events: events.EventLog.
+      rng: random.Random, a fresh one by default.
     """
 
     def __init__(self, *, settings, feed, codec, events, rng=None):
@@ -124,34 +128,34 @@
 
     @property
     def servers(self):
-        """Frozenset of the instances that are registered."""
+        """Frozenset of the registered instances."""
         return frozenset(self._cluster_state.directory.known)
 
     @property
     def counts(self):
-        """Counter of the node's log events by name."""
+        """collections.Counter of the node's log events by name."""
         return self._events.counts
 
     @property
-    def stored_usual_waits(self):
-        """Dict from route to the usual wait that the store keeps."""
-        return dict(self._cluster_state.usual_waits)
+    def stored_caller_timeouts(self):
+        """Dict from route to the caller timeout in the store, seconds."""
+        return dict(self._cluster_state.caller_timeouts)
 
     @property
     def region_member(self):
-        """Region, this node's part in its region."""
+        """RegionMember of this node."""
         return self._region_member
 
     @property
     def ready(self):
-        """Whether callers may be sent here."""
+        """Whether this node accepts callers."""
         return (
             self._cluster_state.configuration is not None
             and not self._stopping
         )
 
     def start(self):
-        """Listen and follow the store."""
+        """Start listening and following the store."""
         self._callers.start()
         for entrance in self._auxiliary_servers:
             entrance.start()
@@ -159,7 +163,9 @@
         self._tasks = [
             gevent.spawn(self._supervise, "region", self._region_member.run),
             gevent.spawn(self._register),
-            gevent.spawn(self._supervise, "waits", self._store_usual_waits),
+            gevent.spawn(
+                self._supervise, "waits", self._store_caller_timeouts
+            ),
             gevent.spawn(self._supervise, "housekeeping", self._housekeep),
         ]
         self._events.notice(
@@ -172,7 +178,12 @@
         )
 
     def stop(self):
-        """Stop gracefully: no request is cut."""
+        """Stop gracefully, without aborting requests.
+
+        The node leaves the roster and keeps accepting requests for a share
+        of the stop grace. It then waits for those in progress. Returns
+        within the stop grace.
+        """
         began = time.monotonic()
         grace = self._settings.bounds.stop_grace
         self._stopping = True
@@ -192,14 +203,14 @@
         gevent.killall(self._tasks)
 
     def kill(self):
-        """Stop at once, as a process that is killed does."""
+        """Stop at once, as if the process was killed."""
         gevent.killall(self._tasks)
         self._region_member.kill()
         for server in (self._callers, *self._auxiliary_servers):
             server.kill()
 
     def reload(self, settings):
-        """Take over what a running node can change.
+        """Apply the settings that a running node can change.
 
         Args:
           settings: topology.NodeSettings of the changed file.
@@ -224,7 +235,7 @@
         )
 
     def _supervise(self, name, function):
-        """Run a task for ever; one that fails is logged and run again."""
+        """Run a function forever; log its exceptions and restart it."""
         while True:
             try:
                 function()
@@ -264,13 +275,20 @@
             self._pool.close_idle()
             self._metrics.rotate()
 
-    def _store_usual_waits(self):
-        """Keep in the store what the node learned of its callers."""
+    def _store_caller_timeouts(self):
+        """Write changed caller timeouts to the store at random intervals."""
         while True:
-            gevent.sleep(_WAITS_WRITE_INTERVAL_S * self._rng.uniform(0.5, 1.5))
-            for route, seconds in self._proxy.changed_usual_waits().items():
+            gevent.sleep(
+                _TIMEOUTS_WRITE_INTERVAL_S * self._rng.uniform(0.5, 1.5)
+            )
+            for (
+                route,
+                seconds,
+            ) in self._proxy.changed_caller_timeouts().items():
                 try:
-                    self._feed.remember_wait(route=route, seconds=seconds)
+                    self._feed.write_caller_timeout(
+                        route=route, seconds=seconds
+                    )
                 except store.StoreError as error:
                     self._events.notice(
                         "wait-not-kept", route=route, error=str(error)
@@ -303,7 +321,7 @@
         balancer = self._balancers.get(service)
         if balancer is None:
             balancer = _balancer.Balancer(
-                servers=_server_pool.ServerPool(
+                server_pool=_server_pool.ServerPool(
                     place=self._settings.place,
                     prober=self._prober,
                     events=self._events,
@@ -328,17 +346,17 @@
             self._region_member.broadcast_state()
         known = self._cluster_state.directory.known
         by_service = collections.defaultdict(list)
-        for entry in known.values():
-            by_service[entry.registration.service].append(entry)
+        for record in known.values():
+            by_service[record.registration.service].append(record)
         for name, balancer in self._balancers.items():
             service = configuration.services.get(name)
             balancer.configure(
                 health_path=service.health_path if service else "/",
-                known=by_service.get(name, ()),
+                registered=by_service.get(name, ()),
             )
         addresses = {
-            instance: entry.registration.address
-            for instance, entry in known.items()
+            instance: record.registration.address
+            for instance, record in known.items()
         }
         for instance, address in self._addresses.items():
             if addresses.get(instance) != address:
--- a/wigeonrouter/node/_peer_requests.py
+++ b/wigeonrouter/node/_peer_requests.py
@@ -1,4 +1,4 @@
-"""Asks other nodes of the region whom they follow, or for their copy."""
+"""Requests to other nodes of the region, for their role or store cache."""
 
 import gevent
 
@@ -8,7 +8,7 @@
 
 CONNECT_TIMEOUT_S = 0.3
 REQUEST_TIMEOUT_S = 0.3
-# Nodes that are asked for the hub; any of them knows it.
+# Any node knows the current hub, so a few are enough to find it.
 _MAX_QUERIED_HOSTS = 6
 _ROLE_NUMBERS = {
     topology.RoleKind.UNDECIDED: node_pb2.Role.UNDECIDED,
@@ -19,11 +19,15 @@
 
 
 def query_roles(hosts, *, port):
-    """Ask some hosts for their roles; return a dict by host.
+    """Query some hosts for their roles in parallel.
 
     Args:
-      hosts: hosts in order; only the first ones are asked.
-      port: port that nodes listen on for each other.
+      hosts: hosts in order of preference; only the first
+        _MAX_QUERIED_HOSTS are queried.
+      port: port for traffic between nodes.
+    Returns:
+      Dict from host to its topology.Role; hosts that did not reply in time
+      are missing.
     """
     tasks = {
         host: gevent.spawn(_query_role, host, port)
@@ -38,7 +42,11 @@
 
 
 def fetch_update(host, *, port, revision):
-    """Return a node's Update since a revision, None without an answer."""
+    """Fetch a node's Update since a revision.
+
+    Returns:
+      Update message, None if the node did not reply with one in time.
+    """
     fetch = node_pb2.Fetch(revision=revision)
     reply = _exchange(host, port, node_pb2.PeerMessage(fetch=fetch))
     if reply is None or not reply.HasField("update"):
@@ -47,7 +55,7 @@
 
 
 def encode_role(role):
-    """Return the PeerMessage of a topology.Role."""
+    """Encode a topology.Role as a PeerMessage."""
     return node_pb2.PeerMessage(
         role=node_pb2.Role(
             kind=_ROLE_NUMBERS[role.kind],
--- a/wigeonrouter/node/_prober.py
+++ b/wigeonrouter/node/_prober.py
@@ -1,4 +1,4 @@
-"""Asks backend servers for their load right before a choice."""
+"""Probes backend servers for their load right before a choice."""
 
 import dataclasses
 import time
@@ -8,18 +8,21 @@
 from wigeonrouter import http1
 from wigeonrouter.node import messages
 
-# Answers to health checks are short.
+# Responses to health checks are short.
 _MAX_BYTES = 16 << 10
 _CONNECTIONS_PER_SERVER = 32
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ProbeResult:
-    """What a server answered to a health check.
+    """A server's response to a health check.
 
     Attributes:
-      round_trip: seconds from sending to the answer.
-      mine: whether the server that answered is the one that was meant.
+      healthy: whether the status is 200.
+      instance_matches: whether the probed instance responded, and not
+        another server at the same address.
+      load: messages.ServerLoad, None if the response reports none.
+      round_trip: time from sending to the response, seconds.
     """
 
     healthy: bool
@@ -29,7 +32,7 @@
 
 
 class Prober:
-    """Sends health checks over the pooled connections of requests."""
+    """Sends health checks over the connection pool that requests use."""
 
     def __init__(self, *, pool, codec, clock=time.monotonic):
         self._pool = pool
@@ -38,13 +41,16 @@
         self._running = {}
 
     def probe(self, targets, *, timeout, deliver):
-        """Ask servers at the same time and wait for their answers.
+        """Probe servers in parallel and wait for the results.
+
+        A server that is being probed already is not probed again; the call
+        waits for the running probe.
 
         Args:
           targets: iterable of (registration, health path).
-          timeout: seconds to wait at most.
-          deliver: called with an instance and its ProbeAnswer, or None
-            where there was none in time.
+          timeout: maximum wait, seconds.
+          deliver: called with an instance and its ProbeResult, or None if
+            the server did not respond in time.
         """
         tasks = []
         for registration, path in targets:
--- a/wigeonrouter/node/_proxy.py
+++ b/wigeonrouter/node/_proxy.py
@@ -1,4 +1,4 @@
-"""Handles one caller request from its route to the final answer."""
+"""Handles a caller's request from route lookup to the final response."""
 
 import dataclasses
 import time
@@ -10,23 +10,31 @@
 from wigeonrouter import topology
 from wigeonrouter.node import messages
 
-# Servers that were never reached by a request do not use up its attempts.
+# Failed connects do not count as attempts, because the server never got the
+# request, but a request is rejected after more than this number of them.
 _MAX_CONNECT_FAILURES = 3
-# Callers return to a node without a configuration after this time.
+# Retry-After of a node that has no configuration yet.
 _NOT_READY_RETRY_S = 0.3
-# A node that has just started knows its configuration within this time; until
-# then requests are held instead of being refused.
+# A node that has just started usually has its configuration within this time.
+# Until then it holds requests instead of rejecting them.
 _STARTUP_WAIT_S = 0.5
 _REJECTION_RETRY_AFTER_S = 0.1
-# Usual waits are written again when they have changed by this part.
-_MIN_WAIT_CHANGE_SHARE = 0.2
-# Time that an answer takes to the caller.
+# An estimated caller timeout is written to the store again when it differs
+# from the stored one by more than this share of it.
+_MIN_TIMEOUT_CHANGE_SHARE = 0.2
+# Network time of a response to the caller, subtracted from the target latency.
 _RESPONSE_TRANSIT_S = 0.003
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _RequestContext:
-    """A request on its way. Times on the monotonic clock."""
+    """State of a request in progress. Times on the monotonic clock.
+
+    Attributes:
+      attempts: attempts that reached a server.
+      connect_failures: attempts that could not connect to their server.
+      may_have_run: whether any server may have begun to execute it.
+    """
 
     request: http1.HttpRequest
     request_id: str
@@ -39,13 +47,15 @@
 
 
 class Proxy:
-    """Routes requests, sends them to backend servers, repeats where allowed.
+    """Routes requests to backend servers and retries where allowed.
 
     Args:
-      world: World.
-      balancers: function from a service's name to its Balancer, or None.
+      cluster_state: ClusterState.
+      balancer_for: function from a service's name to its Balancer.
       sender: Sender.
-      wire: adapter's dialect.
+      codec: the adapter's HTTP codec.
+      splitter: topology.Splitter, chooses among the services of a route.
+      events: events.EventLog.
       metrics: RequestMetrics.
     """
 
@@ -69,36 +79,43 @@
         self._splitter = splitter
         self._events = events
         self._clock = clock
-        self._usual_waits = {}
-
-    def changed_usual_waits(self):
-        """Return usual waits that differ from those kept, by route."""
-        found = {}
-        for route, usual in self._usual_waits.items():
-            stored = self._cluster_state.usual_waits.get(route)
-            learned = usual.learned_timeout
+        self._caller_timeouts = {}
+
+    def changed_caller_timeouts(self):
+        """Return the estimates that differ much from the stored ones.
+
+        Returns:
+          Dict from route to the usual caller timeout, seconds.
+        """
+        changed = {}
+        for route, estimate in self._caller_timeouts.items():
+            stored = self._cluster_state.caller_timeouts.get(route)
+            learned = estimate.learned_timeout
             if learned is not None and (
                 stored is None
-                or abs(learned - stored) > _MIN_WAIT_CHANGE_SHARE * stored
+                or abs(learned - stored) > _MIN_TIMEOUT_CHANGE_SHARE * stored
             ):
-                found[route] = learned
-        return found
+                changed[route] = learned
+        return changed
 
     def body_limit(self, request):
-        """Return the largest accepted body in bytes."""
+        """Return the maximum request body size in bytes."""
         configuration = self._cluster_state.configuration
         if configuration is None:
             return topology.CallerLimits().max_body_bytes
         return configuration.limits.max_body_bytes
 
     def handle(self, request, arrived):
-        """Answer one request.
+        """Handle one request.
 
         Args:
           request: HttpRequest.
-          arrived: earliest time at which it may have arrived.
+          arrived: earliest time at which it may have arrived, monotonic
+            seconds.
         Returns:
           HttpResponse for the caller.
+        Raises:
+          http1.CallerDisconnected: the caller closed its connection.
         """
         metadata = self._codec.read_request(request)
         context = self._route(request, metadata, arrived)
@@ -110,7 +127,7 @@
             result = self._run(context, balancer)
         except http1.CallerDisconnected:
             self._log_event(context, "caller-gone")
-            self._metrics.record_caller_gone(
+            self._metrics.record_caller_disconnect(
                 service=context.service,
                 route=context.route,
                 latency=self._clock() - arrived,
@@ -158,13 +175,13 @@
         remaining = metadata.remaining
         if remaining is None:
             remaining = route.timeout
-        usual = self._usual_waits.get(route.name)
-        if usual is None:
-            usual = placement.CallerTimeoutEstimate(
-                stored=self._cluster_state.usual_waits.get(route.name)
+        estimate = self._caller_timeouts.get(route.name)
+        if estimate is None:
+            estimate = placement.CallerTimeoutEstimate(
+                stored=self._cluster_state.caller_timeouts.get(route.name)
             )
-            self._usual_waits[route.name] = usual
-        elapsed = usual.estimate_age(remaining)
+            self._caller_timeouts[route.name] = estimate
+        elapsed = estimate.estimate_age(remaining)
         return placement.PendingRequest(
             priority=route.priority,
             idempotent=route.idempotent,
@@ -206,7 +223,8 @@
             outcome = placement.AttemptOutcome.CANCELLED
             load = None
             if attempt is None:
-                # Stopped or failed on the way; the request may be there.
+                # The attempt was cancelled or failed unexpectedly, so the
+                # server may have received the request.
                 context.may_have_run = True
             else:
                 outcome = attempt.outcome
@@ -223,7 +241,7 @@
             self._log_attempt(context, grant, attempt, outcome, latency)
 
     def _handle_result(self, context, balancer, grant, attempt):
-        """Return the final result after an attempt, None to try again."""
+        """Return the final response or Rejection, None to try again."""
         instance = grant.registration.instance
         if attempt.outcome is placement.AttemptOutcome.UNREACHABLE:
             context.connect_failures += 1
--- a/wigeonrouter/node/_region_member.py
+++ b/wigeonrouter/node/_region_member.py
@@ -1,4 +1,9 @@
-"""This node's part in its region: hub that reads the store, or follower."""
+"""A node's role in its region.
+
+One node of each region is the hub, the leader that reads the store. The
+others follow it and get the store's changes from it. Nodes agree on the hub
+by asking each other for their roles.
+"""
 
 import time
 
@@ -17,10 +22,11 @@
 
 _LOAD_RETRY_S = 0.1
 _FIRST_MESSAGE_TIMEOUT_S = 1.0
-# A hub that failed this node is not followed again for this time.
+# A hub that this node lost is not followed again for this time.
 _FAILED_HUB_AVOID_S = 2.0
 _HUB_WAIT_S = 0.1
-# A node that does not take the role is not waited for any longer.
+# After this number of waits for a better candidate that does not become the
+# hub, this node becomes the hub itself.
 _MAX_HUB_WAITS = 4
 _HUB_CHECK_INTERVAL_S = 1.5
 _STORE_CHECK_INTERVAL_S = 1.0
@@ -28,14 +34,16 @@
 
 
 class RegionMember:
-    """Owns the connections to the other nodes of the region.
+    """Owns this node's role and its connections to the region's other nodes.
 
     Args:
       settings: topology.NodeSettings.
-      feed: adapter's view of the store.
-      world: World.
-      is_ready: function that tells whether callers may be sent here.
-      on_roster: called without arguments after each change of `peers`.
+      feed: the adapter's interface to the store.
+      cluster_state: ClusterState, which gets the store's records.
+      is_ready: function that returns whether this node is ready for callers.
+      events: events.EventLog.
+      rng: random.Random, for the jitter of waits.
+      clock: function that returns monotonic seconds.
     """
 
     def __init__(
@@ -72,12 +80,12 @@
 
     @property
     def peers(self):
-        """Tuple of topology.Peer of the region, this node included."""
+        """Tuple of the region's topology.Peers, including this node."""
         return self._peers
 
     @property
     def revision(self):
-        """Revision of the store up to which this node knows it."""
+        """Revision of the store that this node has applied."""
         return self._store_cache.revision
 
     @property
@@ -86,12 +94,12 @@
         return self._role
 
     def start(self):
-        """Accept other nodes."""
+        """Start accepting connections from other nodes."""
         self._server.start()
         self._on_roster([self._own_state()])
 
     def broadcast_state(self):
-        """Tell the region that this node's state has changed."""
+        """Notify the region that this node's state has changed."""
         self._state_changed.set()
         if self._hub is not None:
             self._hub.broadcast_roster()
@@ -99,24 +107,30 @@
             self._on_roster([self._own_state()])
 
     def reload(self, settings):
-        """Take over changed topology.NodeSettings."""
+        """Apply changed topology.NodeSettings."""
         self._settings = settings
         self.broadcast_state()
 
     def leave(self):
-        """Give the role of the hub away before this node stops."""
+        """Give up the role before this node stops.
+
+        Followers of a leaving hub choose another one at once.
+        """
         self._leaving = True
         self.broadcast_state()
         if self._hub is not None:
             self._hub.send_heartbeat(leaving=True)
 
     def kill(self):
-        """Stop accepting other nodes, and close the store."""
+        """Stop accepting other nodes and close the store client."""
         self._server.stop(timeout=0)
         self._feed.close()
 
     def register(self):
-        """Make this node known in the store; returns once it is."""
+        """Register this node in the store; returns once it is registered.
+
+        Failed writes are logged and retried.
+        """
         region, host = self._settings.place.region, self._settings.host
         while host not in self._cluster_state.hosts(region):
             if self._store_cache.revision:
@@ -141,10 +155,11 @@
         return self._settings.peer_ports[0]
 
     def _load_snapshot(self):
-        """Read everything once, from the store or else from a seed.
+        """Load all items once, from the store or else from a seed node.
 
-        What is read may be seconds old, which is cheaper: the hub's update
-        or the watch from its revision on brings the rest at once.
+        A stale listing, which may be seconds old, is accepted because it is
+        cheaper: the hub's first update, or the watch from the listing's
+        revision on, has the newer changes.
         """
         try:
             listing = self._feed.list(stale=True)
@@ -204,7 +219,7 @@
         return frozenset(self._avoided_until)
 
     def _query_roles(self):
-        """Ask some nodes for their roles; return a dict by host."""
+        """Query some peers for their roles; return a dict by host."""
         avoided = self._avoided_hosts()
         hosts = [
             host
@@ -214,7 +229,7 @@
         return _peer_requests.query_roles(hosts, port=self._port)
 
     def _run_as_hub(self):
-        """Be the hub: read the store and serve followers."""
+        """Read the store and serve followers until another hub is better."""
         self._hub = _hub.Hub(
             store_cache=self._store_cache,
             own_state=self._own_state,
@@ -258,9 +273,9 @@
             return False
         if not self._reaches_store:
             return self._other_hub_reaches_store()
-        answers = self._query_roles()
+        roles = self._query_roles()
         return topology.steps_down(
-            own=self._settings.host, order=order, answers=answers
+            own=self._settings.host, order=order, answers=roles
         )
 
     def _on_store_contact(self):
@@ -270,7 +285,7 @@
             )
         self._reaches_store = True
         self._cluster_state.on_contact()
-        self._hub.set_store_answers(True)
+        self._hub.set_store_reachable(True)
         self._set_role(topology.RoleKind.HUB, self._settings.host, True)
 
     def _on_store_outage(self, error, failures):
@@ -278,11 +293,11 @@
         if self._reaches_store or failures == 1:
             self._events.notice("store-lost", error=str(error))
         self._reaches_store = False
-        self._hub.set_store_answers(False)
+        self._hub.set_store_reachable(False)
         self._set_role(topology.RoleKind.HUB, self._settings.host, False)
 
     def _run_as_follower(self, hub):
-        """Follow a hub until it fails."""
+        """Follow a hub until it fails, leaves or loses the store."""
         reason = "unreachable"
         try:
             channel = _channel.connect(
@@ -318,8 +333,15 @@
             self._set_role(topology.RoleKind.UNDECIDED, "", False)
 
     def _receive_from_hub(self, channel, hub):
-        """Take over what the hub sends; return why it is left."""
-        checked = float("-inf")
+        """Apply the hub's messages; return the reason for leaving it.
+
+        A follower leaves a hub that lost the store if it reaches the store
+        itself or knows of another hub that does.
+
+        Raises:
+          ChannelClosed: the hub disconnected or sent nothing in time.
+        """
+        last_store_check = float("-inf")
         while True:
             message = channel.receive(timeout=_hub.PEER_TIMEOUT_S)
             kind = message.WhichOneof("body")
@@ -328,7 +350,7 @@
             elif kind == "roster":
                 self._on_roster(list(message.roster.nodes))
             elif kind == "role":
-                return "is no hub"
+                return "is not a hub"
             elif kind == "pulse":
                 if message.pulse.leaving:
                     return "stops"
@@ -336,9 +358,9 @@
                 now = self._clock()
                 if (
                     not message.pulse.store_answers
-                    and now - checked >= _STORE_CHECK_INTERVAL_S
+                    and now - last_store_check >= _STORE_CHECK_INTERVAL_S
                 ):
-                    checked = now
+                    last_store_check = now
                     if self._probe_store() or self._other_hub_reaches_store():
                         return "does not reach the store"
 
--- a/wigeonrouter/node/_sender.py
+++ b/wigeonrouter/node/_sender.py
@@ -1,4 +1,4 @@
-"""Sends a request to one backend server and reads its whole answer."""
+"""Sends a request to one backend server and reads the whole response."""
 
 import dataclasses
 import time
@@ -12,28 +12,28 @@
 
 _CONNECTIONS_PER_SERVER = 64
 _CONNECT_TIMEOUT_S = 0.25
-# A server may close an idle connection at any time. A request that must not
-# run twice cannot be repeated then, so it goes over a connection that was in
-# use just before.
+# A server may close an idle connection at any time, and a non-idempotent
+# request could not be retried then. It therefore only uses connections that
+# were idle for a short time.
 _MAX_IDLE_NON_IDEMPOTENT_S = 0.5
 MAX_RESPONSE_BYTES = 64 << 20
-# A backend server answers so when the time that it was given has passed.
+# Status of a backend server whose deadline for the request has passed.
 _GATEWAY_TIMEOUT_STATUS = 504
-# Answers to earlier requests that may precede the right one.
+# Responses to earlier requests that are skipped before the matching one.
 _MAX_STRAY_RESPONSES = 4
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Attempt:
-    """How an attempt ended.
+    """The result of an attempt.
 
     Attributes:
-      ended: placement.AttemptOutcome.
-      response: the server's whole HttpResponse, None where there is none.
-      answer: dialect.ServerAnswer of it.
-      may_have_run: whether the server may have begun to work on it.
-      late: whether it ended because no time was left.
-      detail: what was seen, for the log.
+      outcome: placement.AttemptOutcome.
+      may_have_run: whether the server may have begun to execute the request.
+      response: the server's whole HttpResponse, None without one.
+      metadata: messages.ResponseMetadata of the response.
+      timed_out: whether the attempt ended because its deadline passed.
+      detail: diagnostic text for the log.
     """
 
     outcome: placement.AttemptOutcome
@@ -61,17 +61,18 @@
         idempotent,
         response_deadline,
     ):
-        """Send a request and wait for the answer.
+        """Send a request and wait for the response.
 
-        A task that is killed meanwhile closes the connection, which ends
-        the server's work.
+        If the calling task is killed, the connection is closed, which makes
+        the server cancel the request.
 
         Args:
           request: HttpRequest of the caller.
-          request_id: its id.
+          request_id: its ID.
           registration: topology.Registration of the server.
-          idempotent: whether it may run more than once.
-          give_up: time at which the answer is of no more use.
+          idempotent: whether the request may run more than once.
+          response_deadline: time after which the response is useless,
+            monotonic seconds.
         Returns:
           Attempt.
         """
@@ -105,7 +106,11 @@
 
 
 class _Exchange:
-    """One request and its answer on one connection."""
+    """One request and its response on one connection.
+
+    Attributes:
+      reusable: whether the connection can be used for another request.
+    """
 
     def __init__(self, *, connection, codec, clock):
         self._connection = connection
@@ -119,7 +124,7 @@
             return Attempt(
                 outcome=placement.AttemptOutcome.CANCELLED,
                 may_have_run=False,
-                detail="no time left",
+                detail="deadline passed before the request was sent",
             )
         data = self._codec.render_request(
             request=request,
@@ -145,6 +150,14 @@
             )
 
     def _read(self, request, request_id):
+        """Read the response with the request's ID and return the Attempt.
+
+        The first response may also come without an ID if it states that the
+        server did not execute the request.
+
+        Raises:
+          http1.MalformedMessage: too many responses of other requests.
+        """
         reader = http1.ResponseReader(
             receive=self._connection.receive,
             max_bytes=MAX_RESPONSE_BYTES,
@@ -161,7 +174,7 @@
             stray += 1
             if stray > _MAX_STRAY_RESPONSES:
                 raise http1.MalformedMessage(
-                    core.problems.ANSWER_INVALID, "answers of other requests"
+                    core.problems.ANSWER_INVALID, "responses of other requests"
                 )
         self.reusable = reader.reusable and not stray
         return Attempt(
--- a/wigeonrouter/node/_server_pool.py
+++ b/wigeonrouter/node/_server_pool.py
@@ -1,8 +1,9 @@
-"""What a node knows of the backend servers of one service.
+"""A node's view of the backend servers of one service.
 
-Asks servers for their load, counts this node's requests at them, and learns
-from how attempts ended. Reports from other regions take a round trip of
-tens of milliseconds, so they are kept fresh while they are wanted.
+Probes servers for their load, counts this node's requests in flight and
+updates its estimates from the outcome of each attempt. A probe of another
+region takes a round trip of tens of milliseconds, so remote servers are
+probed in the background for as long as requests may need them.
 """
 
 import dataclasses
@@ -13,24 +14,26 @@
 from wigeonrouter import placement
 from wigeonrouter import topology
 
-# Servers of other regions that are asked before a choice.
+# Remote servers that are probed before a choice if no server is local.
 REMOTE_PROBES = 3
 _LOCAL_PROBE_TIMEOUT_S = 0.012
-# A far server is asked over a new connection at times, which takes a second
-# round trip.
+# Timeout of a remote probe, in round trips. A probe may need a new connection,
+# which takes a second round trip.
 _REMOTE_PROBE_ROUND_TRIPS = 2.2
 _REMOTE_PROBE_MARGIN_S = 0.03
+# Assumed round trip to another region until one is measured.
 _REMOTE_ROUND_TRIP_S = 0.042
-# While the own region is short of room, this many servers of other regions
-# are asked at this interval; interest ends after a time.
+# While the own region has too few free slots, this many remote servers are
+# probed at this interval. Polling ends if no request needs it for a while.
 _POLLED_REMOTE_SERVERS = 6
 _REMOTE_POLL_INTERVAL_S = 0.05
 _REMOTE_POLL_DURATION_S = 0.3
-# Reports from other regions that are older are not used.
+# Older load reports of remote servers are ignored.
 _REMOTE_REPORT_MAX_AGE_S = 0.2
+# Assumed round trip within the region until one is measured.
 _LOCAL_ROUND_TRIP_S = 0.0015
-# An attempt that ended sooner than this many times the expected time says
-# nothing against its server.
+# A timeout before this multiple of the expected latency does not count as a
+# failure of the server: the request had too little time left.
 _EARLY_TIMEOUT_FACTOR = 2.0
 
 
@@ -39,14 +42,14 @@
     """Permission to send one request to one backend server.
 
     Attributes:
-      at: time at which it was given, seconds on the monotonic clock.
-      slowness: expected slowness of the server.
-      full: whether the server was expected to be nearly full.
-      report_age: seconds since its latest report, None where none came.
-      worth: expected worth of the answer.
-      load: expected requests at the server.
-      round_trip: seconds to it and back.
-      expected: expected seconds until the answer.
+      granted_at: time of the decision, monotonic seconds.
+      expected_slowdown: expected slowdown of the server, a factor.
+      nearly_full: whether the server was expected to be nearly full.
+      report_age: seconds since its last load report, None without one.
+      expected_utility: expected utility of the response.
+      expected_load: expected number of requests at the server.
+      round_trip: network round trip to the server, seconds.
+      expected_latency: expected time to the response, seconds.
     """
 
     registration: topology.Registration
@@ -61,7 +64,7 @@
 
 
 class ServerPool:
-    """Owns the views of the servers of one service.
+    """Owns the ServerViews of one service.
 
     Args:
       place: core.Place of this node.
@@ -83,23 +86,23 @@
         self._remote_poll_until = float("-inf")
 
     @property
-    def times(self):
+    def service_times(self):
         """placement.ServiceTimes of the service."""
         return self._times
 
     @property
     def in_flight(self):
-        """Number of this node's requests at the servers."""
+        """Number of this node's requests in flight at the servers."""
         return sum(view.in_flight for view in self._views.values())
 
     @property
     def has_servers(self):
-        """Whether there is any server."""
+        """Whether any server is known."""
         return bool(self._views)
 
     @property
     def local(self):
-        """List of the views of the own region."""
+        """List of the ServerViews in this node's region."""
         return [
             view
             for view in self._views.values()
@@ -108,7 +111,7 @@
 
     @property
     def remote(self):
-        """List of the views of other regions."""
+        """List of the ServerViews in other regions."""
         return [
             view
             for view in self._views.values()
@@ -117,36 +120,38 @@
 
     @property
     def slots(self):
-        """Slots of the near servers, of all where none is near."""
+        """Slots of the local servers, or of the remote ones if none is."""
         return sum(view.slots for view in self._preferred())
 
     @property
     def utilization(self):
-        """Share of these slots that is expected to be in use."""
+        """Expected load of the servers counted by `slots`, per slot."""
         now = self._clock()
         used = sum(
             placement.expected_load(view, now) for view in self._preferred()
         )
         return used / max(1, self.slots)
 
-    def configure(self, *, health_path, known):
-        """Take over the servers that may get work.
+    def configure(self, *, health_path, registered):
+        """Update the set of servers; draining ones are left out.
+
+        A server that was restarted under the same instance gets a new view.
 
         Args:
           health_path: path of their health check.
-          known: iterable of the directory's Known records of the service.
+          registered: iterable of the directory's Known records of the service.
         """
         self._health_path = health_path
         registrations, views = {}, {}
-        for record in known:
+        for record in registered:
             registration = record.registration
             if registration.state is topology.RegistrationState.DRAINING:
                 continue
             instance = registration.instance
             registrations[instance] = registration
             view = self._views.get(instance)
-            before = self._registrations.get(instance)
-            if view is None or before.born != registration.born:
+            previous = self._registrations.get(instance)
+            if view is None or previous.born != registration.born:
                 view = self._new_view(registration)
             views[instance] = dataclasses.replace(
                 view,
@@ -156,12 +161,15 @@
         self._registrations, self._views = registrations, views
 
     def misdirected(self, instance):
-        """Take over that another server answers at an address."""
+        """Remove a server whose address now belongs to another one."""
         self._registrations.pop(instance, None)
         self._views.pop(instance, None)
 
     def remote_with_fresh_reports(self):
-        """Return the far views with fresh reports, and keep asking them."""
+        """Return the remote views with fresh reports.
+
+        Starts or prolongs the background polling that keeps them fresh.
+        """
         self._remote_poll_until = self._clock() + _REMOTE_POLL_DURATION_S
         if self._remote_poll_task is None or self._remote_poll_task.ready():
             self._remote_poll_task = gevent.spawn(self._poll_remote)
@@ -174,11 +182,22 @@
         ]
 
     def probe(self, views, *, remote):
-        """Ask servers for their load and wait for their answers."""
+        """Probe servers for their load and wait for the results.
+
+        Args:
+          views: ServerViews to probe.
+          remote: whether they are in another region, where the timeout
+            depends on the round trip.
+        """
         timeout = _LOCAL_PROBE_TIMEOUT_S
         if remote:
-            trip = max((view.round_trip for view in views), default=0.0)
-            timeout = _REMOTE_PROBE_MARGIN_S + _REMOTE_PROBE_ROUND_TRIPS * trip
+            max_round_trip = max(
+                (view.round_trip for view in views), default=0.0
+            )
+            timeout = (
+                _REMOTE_PROBE_MARGIN_S
+                + _REMOTE_PROBE_ROUND_TRIPS * max_round_trip
+            )
         self._prober.probe(
             [
                 (self._registrations[view.instance], self._health_path)
@@ -190,10 +209,13 @@
         )
 
     def grant(self, pick, service_time):
-        """Count a request at the picked server.
+        """Count a request in flight at the chosen server.
 
+        Args:
+          pick: placement.Pick.
+          service_time: expected service time, seconds.
         Returns:
-          Grant, None where the server has gone meanwhile.
+          Grant, None if the server was removed in the meantime.
         """
         now = self._clock()
         view = self._views.get(pick.view.instance)
@@ -226,7 +248,7 @@
         return grant
 
     def release(self, grant, *, route, outcome, load, latency, timed_out):
-        """Take a request off a server; see Balancer.release()."""
+        """Record the end of an attempt; see Balancer.release()."""
         instance = grant.registration.instance
         view = self._views.get(instance)
         if (
@@ -250,7 +272,8 @@
     def _update_view(self, view, outcome, load):
         now = self._clock()
         if load is not None:
-            # The answered request is still among those reported.
+            # The report still counts the finished request, so it is recorded
+            # before `in_flight` is decremented.
             report = self._make_report(load, view, now)
             view = dataclasses.replace(view, report=report)
         view = dataclasses.replace(view, in_flight=max(0, view.in_flight - 1))
@@ -263,10 +286,10 @@
         )
 
     def _replace_view(self, view):
-        """Take over a view, and note where it changes what gets work."""
-        before = self._views[view.instance]
+        """Store an updated view; log an ejection or a recovery."""
+        previous = self._views[view.instance]
         self._views[view.instance] = view
-        if view.ejected_until > before.ejected_until:
+        if view.ejected_until > previous.ejected_until:
             self._events.event(
                 "server-paused",
                 instance=view.instance,
@@ -274,7 +297,7 @@
                 silent=view.consecutive_no_response,
                 for_ms=round((view.ejected_until - self._clock()) * 1000),
             )
-        elif _has_recent_failures(before) and not _has_recent_failures(view):
+        elif _has_recent_failures(previous) and not _has_recent_failures(view):
             self._events.event("server-back", instance=view.instance)
 
     def _preferred(self):
@@ -297,7 +320,7 @@
         )
 
     def _poll_remote(self):
-        """Ask some servers of other regions again and again."""
+        """Probe random remote servers at intervals while they are needed."""
         while self._clock() < self._remote_poll_until:
             views = self.remote
             chosen = self._rng.sample(
@@ -347,7 +370,7 @@
 
 
 def _saturated_report(view, now):
-    """Return the report that a refusal for lack of room stands for."""
+    """Return the LoadReport implied by a rejection without one: all busy."""
     return placement.LoadReport(
         running=view.slots,
         queued=1,
--- a/wigeonrouter/node/_store_cache.py
+++ b/wigeonrouter/node/_store_cache.py
@@ -1,20 +1,25 @@
-"""Copy of what lies in the store, whoever read it."""
+"""In-memory copy of the store's items and its messages between nodes."""
 
 import zlib
 
 from wigeonrouter import store
 from wigeonrouter.schema import node_pb2
 
-# Larger messages are compressed; bytes between failure domains are paid.
+# Larger messages are compressed, because traffic between failure domains is
+# billed.
 _MIN_COMPRESSED_BYTES = 1_000
 _COMPRESSION_LEVEL = 3
 
 
 class StoreCache:
-    """Owns the items of the store up to a revision.
+    """Holds the items of the store as of a revision.
+
+    It is filled from the store on the hub and from Update messages on the
+    followers.
 
     Args:
-      apply: called with (items, revision, whole) after each step.
+      apply: called with (items, revision, whole) after each change, where
+        `whole` tells whether the items are all there are.
     """
 
     def __init__(self, *, apply):
@@ -24,11 +29,14 @@
 
     @property
     def revision(self):
-        """Revision of the store, 0 before anything was read."""
+        """Revision of the store, 0 until something was read."""
         return self._revision
 
     def replace_all(self, items, revision):
-        """Take over a complete listing."""
+        """Replace all items by a complete listing.
+
+        A listing that is older than the cache is ignored.
+        """
         if revision < self._revision:
             return
         self._items = {item.key: item for item in items}
@@ -36,11 +44,14 @@
         self._apply(tuple(items), revision, True)
 
     def apply_changes(self, items, revision):
-        """Take over changes, oldest first; the last one of a key counts."""
+        """Apply changes, oldest first; the last change of a key wins.
+
+        Changes that are not newer than the cached item are ignored.
+        """
         fresh = {}
         for item in items:
-            known = self._items.get(item.key)
-            if known is not None and known.version >= item.version:
+            cached = self._items.get(item.key)
+            if cached is not None and cached.version >= item.version:
                 continue
             if item.value is None:
                 self._items.pop(item.key, None)
@@ -53,7 +64,11 @@
             self._apply(tuple(fresh.values()), self._revision, False)
 
     def update_since(self, revision):
-        """Return the Update that brings a copy of a revision up to date."""
+        """Return the Update that brings a cache at a revision up to date.
+
+        It has the newer items and all keys, so that the receiver also drops
+        removed keys.
+        """
         newer = [
             item for item in self._items.values() if item.version > revision
         ]
@@ -65,7 +80,7 @@
         )
 
     def apply_update(self, update):
-        """Take over an Update message."""
+        """Apply an Update message."""
         items, keys = decode_update(update)
         if not update.whole:
             self.apply_changes(items, update.revision)
@@ -79,7 +94,14 @@
 
 
 def encode_update(*, items, revision, whole=False, keys=()):
-    """Return the Update message of store items."""
+    """Encode store items as an Update message.
+
+    Args:
+      items: store.Items; a removed one has no value.
+      revision: revision of the store that they belong to.
+      whole: whether `keys` lists all keys of the store.
+      keys: keys of the store.
+    """
     data = node_pb2.StoreItems(
         items=[
             node_pb2.StoreItem(
@@ -101,7 +123,7 @@
 
 
 def decode_update(update):
-    """Return the pair (items, keys) of an Update message."""
+    """Decode an Update message into the pair (items, keys)."""
     data = zlib.decompress(update.items) if update.compressed else update.items
     parsed = node_pb2.StoreItems.FromString(data)
     items = [
--- a/wigeonrouter/node/_store_reader.py
+++ b/wigeonrouter/node/_store_reader.py
@@ -1,30 +1,31 @@
-"""Reads the store for a region, for as long as this node is its hub."""
+"""Reads the store for a region while this node is the region's hub."""
 
 import gevent
 
 from wigeonrouter import store
 from wigeonrouter.node import _store_cache
 
-# A watch that brings nothing returns after this time, so that a hub that is
-# cut off from the store is noticed.
+# A watch without changes returns after this time, so that a hub notices when
+# it is cut off from the store.
 _WATCH_TIMEOUT_S = 1.0
-# Changes in quick succession are read together.
+# Delay after a change, so that changes in quick succession are read together.
 _BATCH_DELAY_S = 0.25
 _MIN_BACKOFF_S = 0.1
 _MAX_BACKOFF_S = 0.5
 
 
 class StoreReader:
-    """Keeps a Mirror up to date from the store.
+    """Keeps a StoreCache up to date from the store.
 
     Args:
-      mirror: Mirror.
-      feed: adapter's view of the store.
+      store_cache: StoreCache.
+      feed: the adapter's interface to the store.
       events: events.EventLog.
+      rng: random.Random, for the jitter of the backoff.
       on_update: called with the Update message of each change.
-      on_contact: called without arguments whenever the store has answered.
-      on_outage: called with the StoreError whenever it has not, and with
-        the number of failures in a row.
+      on_contact: called without arguments after each successful call.
+      on_outage: called after each failed call, with the StoreError and the
+        number of consecutive failures.
     """
 
     def __init__(
@@ -47,7 +48,10 @@
         self._on_outage = on_outage
 
     def run(self):
-        """Follow the store until the task is killed."""
+        """Watch the store until the task is killed.
+
+        Failed calls are retried with an exponential backoff.
+        """
         failures = 0
         while True:
             try:
--- a/wigeonrouter/node/messages.py
+++ b/wigeonrouter/node/messages.py
@@ -1,4 +1,7 @@
-"""Records that an adapter translates HTTP messages into. Times in seconds."""
+"""Protocol-neutral records of the HTTP messages that a codec translates.
+
+All times are in seconds.
+"""
 
 import dataclasses
 
@@ -7,10 +10,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RequestMetadata:
-    """What a caller's request says of itself.
+    """Metadata from the headers of a caller's request.
 
     Attributes:
-      remaining: how long the caller will wait, None where it is not said.
+      remaining: time until the caller's deadline, None if the request has
+        no deadline.
     """
 
     request_id: str
@@ -19,10 +23,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServerLoad:
-    """A backend server's statement of its load.
+    """A backend server's load as it reports it in a response.
 
     Attributes:
-      slowness: how many times longer than usual work takes there now.
+      running: requests that are executing.
+      queued: requests in the server's own queue.
+      slots: requests that the server executes concurrently.
+      slowdown: current service time as a multiple of the normal one.
     """
 
     running: int
@@ -33,12 +40,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ResponseMetadata:
-    """What a backend server's response says beside its content.
+    """Metadata from the headers and status of a backend server's response.
 
     Attributes:
-      instance: name of the start of the server that answered, or "".
-      not_run: whether the server states that it did not run the request.
-      misdirected: whether another server has the address now.
+      instance: instance ID of the server process that responded, or "".
+      not_executed: whether the server states that it did not execute the
+        request.
+      misdirected: whether the address now belongs to another server.
+      load: the server's load, None if it reports none.
     """
 
     request_id: str
@@ -50,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class EntryQuery:
-    """A caller's question which entries to use for a host."""
+    """A caller's lookup of the entries that serve a host."""
 
     host: str
     place: core.Place
@@ -58,11 +67,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Rejection:
-    """A request that ends with a problem.
+    """A request that the node rejects or fails.
 
     Attributes:
-      retry_after: seconds after which the caller should return, if at all.
-      detail: what was seen, for the log.
+      problem: the problem type, which determines the status.
+      retry_after: seconds after which the caller may retry, None if the
+        response should not suggest a retry.
+      detail: diagnostic text for the log.
     """
 
     problem: core.ProblemType
--- a/wigeonrouter/platform/_end_to_end_test.py
+++ b/wigeonrouter/platform/_end_to_end_test.py
@@ -317,7 +317,7 @@
     start_ready(backend, node, "i-1")
     caller = tools.Caller(address=settings.caller_address)
     assert caller.send("/read/a", remaining=3900).status == 200
-    assert node.stored_usual_waits == {"r-read": 4.0}
+    assert node.stored_caller_timeouts == {"r-read": 4.0}
 
 
 def test_metrics_count_requests_by_route_and_outcome(backend, node, caller):
--- a/wigeonrouter/platform/_feed.py
+++ b/wigeonrouter/platform/_feed.py
@@ -51,10 +51,10 @@
             f"{_store_values.NODE_PREFIX}{region}/{host}", _REGISTERED
         )
 
-    def remember_wait(self, *, route, seconds):
+    def write_caller_timeout(self, *, route, seconds):
         """Keep how long callers of a route usually wait."""
         self._client.write(
-            f"{_store_values.WAIT_PREFIX}{route}",
+            f"{_store_values.CALLER_TIMEOUT_PREFIX}{route}",
             b"%d" % round(seconds * 1000),
         )
 
@@ -76,8 +76,8 @@
             return self._decode_registration(item)
         if item.key.startswith(_store_values.NODE_PREFIX):
             return _decode_node(item)
-        if item.key.startswith(_store_values.WAIT_PREFIX):
-            return _decode_wait(item)
+        if item.key.startswith(_store_values.CALLER_TIMEOUT_PREFIX):
+            return _decode_caller_timeout(item)
         return None
 
     def _decode_registration(self, item):
@@ -125,10 +125,10 @@
     return topology.NodeWritten(region=region, host=host)
 
 
-def _decode_wait(item):
+def _decode_caller_timeout(item):
     if item.value is None or not item.value.isdigit():
         return None
     return topology.WaitLearned(
-        route=item.key.removeprefix(_store_values.WAIT_PREFIX),
+        route=item.key.removeprefix(_store_values.CALLER_TIMEOUT_PREFIX),
         seconds=int(item.value) / 1000,
     )
--- a/wigeonrouter/platform/_store_values.py
+++ b/wigeonrouter/platform/_store_values.py
@@ -11,7 +11,7 @@
 # Nodes register below this prefix, as REGION/HOST.
 NODE_PREFIX = "wigeonrouter/nodes/"
 # How long callers usually wait, in ms, below this prefix, by route.
-WAIT_PREFIX = "wigeonrouter/waits/"
+CALLER_TIMEOUT_PREFIX = "wigeonrouter/waits/"
 
 
 def decode_configuration(value):
