--- a/wigeonrouter/events/__init__.py
+++ b/wigeonrouter/events/__init__.py
@@ -1,4 +1,4 @@
-"""Structured log lines that never block the process."""
+"""Structured event log that never blocks the process."""
 
 from wigeonrouter.events import _events
 
--- a/wigeonrouter/events/_events.py
+++ b/wigeonrouter/events/_events.py
@@ -1,8 +1,9 @@
-"""Structured log lines that never block the process.
+"""Structured event log that never blocks the process.
 
-Each line is a JSON object. Lines wait in a bounded buffer, and a task
-writes them when the reader takes them; what does not fit, or exceeds the
-rate, is counted and reported in a later line.
+Each line is a JSON object. Lines are kept in a bounded buffer, and a task
+writes them as fast as the reader of the descriptor accepts them. Lines that
+exceed the buffer or the rate limit are dropped, counted and reported in a
+later line.
 """
 
 import collections
@@ -14,42 +15,48 @@
 from gevent import hub as gevent_hub
 
 MAX_BUFFERED_LINES = 2_000
-_WRITE_EVENT = 2
+_LIBEV_WRITE = 2
 _FLUSH_INTERVAL_S = 0.2
-_BATCH_LINES = 200
+_MAX_BATCH_LINES = 200
 
 
 class EventLog:
-    """Writes events to a file descriptor, bounded in rate and memory."""
+    """Writes events to a file descriptor, bounded in rate and memory.
+
+    Args:
+      lines_per_second: rate limit for event(); notice() is not limited.
+      descriptor: file descriptor, which is made non-blocking by start().
+      wall_clock: function that returns seconds since the epoch.
+    """
 
     def __init__(
         self, *, lines_per_second, descriptor=1, wall_clock=time.time
     ):
-        self._limit = lines_per_second
+        self._lines_per_second = lines_per_second
         self._descriptor = descriptor
         self._wall_clock = wall_clock
-        self._lines = collections.deque()
-        self._second = 0
-        self._written = 0
+        self._buffer = collections.deque()
+        self._current_second = 0
+        self._written_in_second = 0
         self._dropped = collections.Counter()
-        self._dropped_before = 0
+        self._dropped_reported = 0
         self._counts = collections.Counter()
         self._task = None
 
     @property
     def dropped(self):
-        """Counter of dropped lines by event since the last report."""
+        """Counter of dropped lines by event name since the last report."""
         return self._dropped
 
     @property
     def counts(self):
-        """Counter of events by name since the start, written or not."""
+        """Counter of events by name since the start, dropped or not."""
         return self._counts
 
     @property
     def total_dropped(self):
-        """Number of lines that were not written since the start."""
-        return self._dropped_before + self._dropped.total()
+        """Number of lines dropped since the start."""
+        return self._dropped_reported + self._dropped.total()
 
     def start(self):
         """Start the writing task."""
@@ -57,38 +64,43 @@
         self._task = gevent.spawn(self._run)
 
     def stop(self):
-        """Write what the reader takes at once and end."""
+        """Stop the writing task and write what does not block."""
         if self._task is not None:
             self._task.kill()
             self._task = None
         self._flush_now()
 
     def event(self, name, /, **fields):
-        """Add a line about a request or an expected happening.
+        """Log an event of a request; dropped if it exceeds the rate limit.
 
-        Such lines are dropped beyond the rate.
+        Args:
+          name: name of the event.
+          fields: fields of the line, serializable as JSON or str().
         """
         self._counts[name] += 1
         now = self._wall_clock()
-        if int(now) != self._second:
-            self._second = int(now)
-            self._written = 0
+        if int(now) != self._current_second:
+            self._current_second = int(now)
+            self._written_in_second = 0
         if (
-            self._written >= self._limit
-            or len(self._lines) >= MAX_BUFFERED_LINES
+            self._written_in_second >= self._lines_per_second
+            or len(self._buffer) >= MAX_BUFFERED_LINES
         ):
             self._dropped[name] += 1
             return
-        self._written += 1
-        self._lines.append(_render(now, name, fields))
+        self._written_in_second += 1
+        self._buffer.append(_render(now, name, fields))
 
     def notice(self, name, /, **fields):
-        """Add a line about the process itself, whatever the rate is."""
+        """Log an event of the process itself, without a rate limit.
+
+        If the buffer is full, the oldest line is dropped.
+        """
         self._counts[name] += 1
-        if len(self._lines) >= MAX_BUFFERED_LINES:
-            self._lines.popleft()
+        if len(self._buffer) >= MAX_BUFFERED_LINES:
+            self._buffer.popleft()
             self._dropped["buffer full"] += 1
-        self._lines.append(_render(self._wall_clock(), name, fields))
+        self._buffer.append(_render(self._wall_clock(), name, fields))
 
     def _run(self):
         while True:
@@ -98,37 +110,37 @@
                     dict(self._dropped),
                     collections.Counter(),
                 )
-                self._dropped_before += sum(dropped.values())
+                self._dropped_reported += sum(dropped.values())
                 self.notice("lines-dropped", **{"by_event": dropped})
             self._flush()
 
     def _flush(self):
-        while self._lines:
-            data = self._take()
+        while self._buffer:
+            data = self._next_batch()
             while data:
                 try:
                     data = data[os.write(self._descriptor, data) :]
                 except BlockingIOError:
                     self._wait_for_reader()
                 except OSError:
-                    # Nobody reads the log any more.
-                    self._lines.clear()
+                    # The reader has closed the log.
+                    self._buffer.clear()
                     return
 
     def _flush_now(self):
-        while self._lines:
+        while self._buffer:
             try:
-                os.write(self._descriptor, self._take())
+                os.write(self._descriptor, self._next_batch())
             except OSError:
                 return
 
-    def _take(self):
-        count = min(len(self._lines), _BATCH_LINES)
-        return b"".join(self._lines.popleft() for _ in range(count))
+    def _next_batch(self):
+        count = min(len(self._buffer), _MAX_BATCH_LINES)
+        return b"".join(self._buffer.popleft() for _ in range(count))
 
     def _wait_for_reader(self):
         hub = gevent_hub.get_hub()
-        watcher = hub.loop.io(self._descriptor, _WRITE_EVENT)
+        watcher = hub.loop.io(self._descriptor, _LIBEV_WRITE)
         try:
             hub.wait(watcher)
         finally:
--- a/wigeonrouter/events/_events_test.py
+++ b/wigeonrouter/events/_events_test.py
@@ -1,4 +1,4 @@
-"""Tests that the log neither blocks its process nor grows."""
+"""Tests that the event log is non-blocking and bounded."""
 
 import json
 import os
@@ -43,7 +43,7 @@
 
 
 def read_now(descriptor):
-    """Return the bytes that can be read now."""
+    """Return the bytes that can be read without blocking."""
     os.set_blocking(descriptor, False)
     data = b""
     while True:
@@ -58,14 +58,15 @@
 
 
 def parse(data):
-    """Return the events of whole lines."""
+    """Return the events of complete lines."""
     return [json.loads(line) for line in data.splitlines()]
 
 
-def test_reader_that_stops_reading_blocks_nobody(make_log, pipe):
-    """Guards against a process that waits for whoever reads its log.
+def test_stalled_log_reader_does_not_block_the_process(make_log, pipe):
+    """Guards against a process that is blocked by the reader of its log.
 
-    Replays a reader that stops, tens of thousands of lines, and its return.
+    The reader stops, the process logs tens of thousands of lines, and the
+    reader continues.
     """
     log = make_log()
     started = time.monotonic()
@@ -76,7 +77,7 @@
     gevent.sleep(0.5)
     log.notice("important")
     assert time.monotonic() - started < 5.0
-    assert len(log._lines) <= _events.MAX_BUFFERED_LINES
+    assert len(log._buffer) <= _events.MAX_BUFFERED_LINES
     data = b""
     for _ in range(20):
         data += read_now(pipe[0])
@@ -92,8 +93,8 @@
     assert log.total_dropped >= _CALLS - written
 
 
-def test_lines_on_requests_keep_to_the_rate(make_log, pipe):
-    """Guards against a log that grows with the load."""
+def test_request_events_are_rate_limited(make_log, pipe):
+    """Guards against a log volume that grows with the request rate."""
     log = make_log(lines_per_second=10, wall_clock=lambda: 1000.5)
     for number in range(100):
         log.event("decision", id=number)
@@ -105,8 +106,8 @@
     assert log.total_dropped == 90
 
 
-def test_reader_that_has_gone_ends_nothing(make_log, pipe):
-    """Guards against a process that ends with its log reader."""
+def test_closed_log_reader_does_not_end_the_process(make_log, pipe):
+    """Guards against a process that exits when its log reader exits."""
     log = make_log()
     os.close(pipe[0])
     log.event("decision")
