--- a/wigeonrouter/bench/_node_parts.py
+++ b/wigeonrouter/bench/_node_parts.py
@@ -49,7 +49,7 @@
 
     def apply_version():
         items, _ = _store_cache.decode_update(update)
-        cluster_state.apply(feed.decode(items, whole=False))
+        cluster_state.apply(feed.decode(items, complete=False))
 
     before = _measuring.resident_bytes()
     first = _measuring.cpu_seconds(apply_version)
@@ -66,7 +66,7 @@
     """Measure a node's copy of the registrations of backend servers."""
     items = [_registration_item(number) for number in range(servers)]
     update = _store_cache.encode_update(
-        items=items, revision=servers, whole=True
+        items=items, revision=servers, complete=True
     )
     one = _store_cache.encode_update(items=items[:1], revision=servers + 1)
     feed = testing.make_feed(_DOMAINS)
@@ -74,8 +74,8 @@
         events=_Quiet(), on_change=lambda: None
     )
     cache = _store_cache.StoreCache(
-        apply=lambda items, revision, whole: cluster_state.apply(
-            feed.decode(items, whole=whole)
+        apply=lambda items, revision, complete: cluster_state.apply(
+            feed.decode(items, complete=complete)
         )
     )
     before = _measuring.resident_bytes()
@@ -153,7 +153,7 @@
         name=f"route-{service}-{number}",
         host=f"{service}.example",
         prefix=f"/part-{number}/",
-        shares=(topology.Share(service=service, weight=1),),
+        shares=(topology.TrafficShare(service=service, weight=1),),
         idempotent=True,
         timeout=2.0,
         target_latency=0.4,
@@ -177,7 +177,7 @@
             ),
             slots=2,
             state=topology.RegistrationState.READY,
-            born=1_790_000_000_000 + number,
+            started_ms=1_790_000_000_000 + number,
             sequence=number,
         )
     )
--- a/wigeonrouter/node/_cluster_state.py
+++ b/wigeonrouter/node/_cluster_state.py
@@ -61,18 +61,18 @@
 
     def on_outage(self):
         """Record that the store is unreachable."""
-        self._directory.on_outage()
+        self._directory.on_store_outage()
 
     def on_contact(self):
         """Record that the store is reachable."""
-        self._directory.on_contact(self._clock())
+        self._directory.on_store_contact(self._clock())
 
     def apply(self, content):
         """Apply the store's records or changes (topology.StoreContent)."""
         now = self._clock()
-        if content.whole:
+        if content.complete:
             self._hosts = {}
-            self._directory.keep_only(
+            self._directory.retain_only(
                 _registered_instances(content.records), now
             )
         else:
@@ -101,7 +101,7 @@
             )
         elif isinstance(record, topology.NodeWritten):
             self._hosts.setdefault(record.region, set()).add(record.host)
-        elif isinstance(record, topology.WaitLearned):
+        elif isinstance(record, topology.CallerTimeoutLearned):
             self._caller_timeouts[record.route] = record.seconds
         elif isinstance(record, topology.NodeRemoved):
             self._hosts.get(record.region, set()).discard(record.host)
--- a/wigeonrouter/node/_proxy.py
+++ b/wigeonrouter/node/_proxy.py
@@ -117,10 +117,12 @@
         Raises:
           http1.CallerDisconnected: the caller closed its connection.
         """
-        metadata = self._codec.read_request(request)
-        context = self._route(request, metadata, arrived)
+        request_metadata = self._codec.read_request(request)
+        context = self._route(request, request_metadata, arrived)
         if isinstance(context, messages.Rejection):
-            return self._reject(context, metadata.request_id, arrived, None)
+            return self._reject(
+                context, request_metadata.request_id, arrived, None
+            )
         balancer = self._balancer_for(context.service)
         try:
             balancer.budget.on_request(self._clock())
@@ -146,7 +148,7 @@
         )
         return result
 
-    def _route(self, request, metadata, arrived):
+    def _route(self, request, request_metadata, arrived):
         if self._cluster_state.configuration is None:
             self._cluster_state.wait_configured(_STARTUP_WAIT_S)
         if self._cluster_state.configuration is None:
@@ -165,14 +167,14 @@
             )
         return _RequestContext(
             request=request,
-            request_id=metadata.request_id,
+            request_id=request_metadata.request_id,
             route=route,
             service=self._splitter.choose(route),
-            pending=self._make_pending(route, metadata, arrived),
+            pending=self._make_pending(route, request_metadata, arrived),
         )
 
-    def _make_pending(self, route, metadata, arrived):
-        remaining = metadata.remaining
+    def _make_pending(self, route, request_metadata, arrived):
+        remaining = request_metadata.remaining
         if remaining is None:
             remaining = route.timeout
         estimate = self._caller_timeouts.get(route.name)
--- a/wigeonrouter/node/_server_pool.py
+++ b/wigeonrouter/node/_server_pool.py
@@ -139,7 +139,7 @@
 
         Args:
           health_path: path of their health check.
-          registered: iterable of the directory's Known records of the service.
+          registered: iterable of topology.KnownServer of the service.
         """
         self._health_path = health_path
         registrations, views = {}, {}
@@ -151,12 +151,12 @@
             registrations[instance] = registration
             view = self._views.get(instance)
             previous = self._registrations.get(instance)
-            if view is None or previous.born != registration.born:
+            if view is None or previous.started_ms != registration.started_ms:
                 view = self._new_view(registration)
             views[instance] = dataclasses.replace(
                 view,
                 slots=registration.slots,
-                slow_start_until=record.learned + registration.warm_up,
+                slow_start_until=record.learned_at + registration.slow_start,
             )
         self._registrations, self._views = registrations, views
 
--- a/wigeonrouter/node/_store_cache.py
+++ b/wigeonrouter/node/_store_cache.py
@@ -18,8 +18,8 @@
     followers.
 
     Args:
-      apply: called with (items, revision, whole) after each change, where
-        `whole` tells whether the items are all there are.
+      apply: called with (items, revision, complete) after each change, where
+        `complete` tells whether these are all items of the store.
     """
 
     def __init__(self, *, apply):
@@ -76,7 +76,7 @@
             items=newer,
             keys=self._items,
             revision=self._revision,
-            whole=True,
+            complete=True,
         )
 
     def apply_update(self, update):
@@ -93,13 +93,13 @@
         self.replace_all(merged.values(), update.revision)
 
 
-def encode_update(*, items, revision, whole=False, keys=()):
+def encode_update(*, items, revision, complete=False, keys=()):
     """Encode store items as an Update message.
 
     Args:
       items: store.Items; a removed one has no value.
       revision: revision of the store that they belong to.
-      whole: whether `keys` lists all keys of the store.
+      complete: whether `keys` lists all keys of the store.
       keys: keys of the store.
     """
     data = node_pb2.StoreItems(
@@ -118,7 +118,7 @@
     if compressed:
         data = zlib.compress(data, _COMPRESSION_LEVEL)
     return node_pb2.Update(
-        items=data, compressed=compressed, whole=whole, revision=revision
+        items=data, compressed=compressed, whole=complete, revision=revision
     )
 
 
--- a/wigeonrouter/platform/_end_to_end_test.py
+++ b/wigeonrouter/platform/_end_to_end_test.py
@@ -95,11 +95,11 @@
     bad, good = start_ready(backend, node, "i-1", "i-2")
     bad.fault = fault
     for _ in range(20):
-        response = caller.send("/read/a")
+        last_response = caller.send("/read/a")
         if bad.runs:
             break
-    assert bad.runs and response.status == 200
-    assert response.headers["server-stamp"] == "stamp.i-2"
+    assert bad.runs and last_response.status == 200
+    assert last_response.headers["server-stamp"] == "stamp.i-2"
 
 
 def test_rejected_request_is_retried_on_another_server(backend, node, caller):
@@ -311,7 +311,7 @@
     for server in servers:
         store.remove(f"servers/{server.instance}")
     store.refusing = False
-    wait_until(lambda: store.calls and node.region_member.role.store_answers)
+    wait_until(lambda: store.calls and node.region_member.role.store_reachable)
     gevent.sleep(0.3)
     assert caller.send("/read/a").status == 200
     store.put("servers/i-1", servers[0].registration(sequence=2))
--- a/wigeonrouter/platform/_feed.py
+++ b/wigeonrouter/platform/_feed.py
@@ -64,16 +64,17 @@
             b"%d" % round(seconds * 1000),
         )
 
-    def decode(self, items, *, whole):
+    def decode(self, items, *, complete):
         """Decode store items into a topology.StoreContent.
 
         Args:
           items: store.Items.
-          whole: whether these are all items of the store.
+          complete: whether these are all items of the store.
         """
         records = [self._decode_item(item) for item in items]
         return topology.StoreContent(
-            records=tuple(r for r in records if r is not None), whole=whole
+            records=tuple(r for r in records if r is not None),
+            complete=complete,
         )
 
     def close(self):
@@ -139,7 +140,7 @@
 def _decode_caller_timeout(item):
     if item.value is None or not item.value.isdigit():
         return None
-    return topology.WaitLearned(
+    return topology.CallerTimeoutLearned(
         route=item.key.removeprefix(_store_values.CALLER_TIMEOUT_PREFIX),
         seconds=int(item.value) / 1000,
     )
--- a/wigeonrouter/platform/_settings.py
+++ b/wigeonrouter/platform/_settings.py
@@ -129,19 +129,19 @@
     for part in joined.split(","):
         name, _, value = part.partition("=")
         values[name.strip()] = value.strip()
-    bounds = {}
+    parsed = {}
     for name, wire_name in (
         ("retry_window", "budget_window"),
-        ("answer_lifetime", "ttl_max"),
+        ("max_entry_ttl", "ttl_max"),
         ("stop_grace", "grace"),
         ("config_apply", "config_apply"),
     ):
         if values.get(wire_name):
-            bounds[name] = _fields.parse_duration(values[wire_name])
+            parsed[name] = _fields.parse_duration(values[wire_name])
     ratio = values.get("retry_budget_ratio")
     if ratio:
         try:
-            bounds["retry_ratio"] = float(ratio)
+            parsed["retry_ratio"] = float(ratio)
         except ValueError as error:
             raise _fields.FieldError(f"bounds: {error}") from error
-    return topology.Bounds(**bounds)
+    return topology.Bounds(**parsed)
--- a/wigeonrouter/platform/_store_values.py
+++ b/wigeonrouter/platform/_store_values.py
@@ -69,12 +69,12 @@
         parsed_state = topology.RegistrationState(state)
     except ValueError as error:
         raise _fields.FieldError(f"state: {error}") from error
-    warm_up = 0.0
+    slow_start = 0.0
     if "warmup_left" in status:
-        warm_up = _fields.get_duration(status, "warmup_left")
-    born = 0
+        slow_start = _fields.get_duration(status, "warmup_left")
+    started_ms = 0
     if "born" in document:
-        born = _fields.get_integer(document, "born")
+        started_ms = _fields.get_integer(document, "born")
     return topology.Registration(
         instance=instance,
         service=_fields.get_string(info, "service"),
@@ -84,8 +84,8 @@
         ),
         slots=_fields.get_integer(info, "slots", minimum=1),
         state=parsed_state,
-        warm_up=warm_up,
-        born=born,
+        slow_start=slow_start,
+        started_ms=started_ms,
         sequence=_fields.get_integer(status, "seq"),
     )
 
@@ -134,7 +134,7 @@
 def _read_shares(name, route):
     if "traffic_split" not in route:
         return (
-            topology.Share(
+            topology.TrafficShare(
                 service=_fields.get_string(route, "service"), weight=1
             ),
         )
@@ -142,7 +142,7 @@
     if not isinstance(rows, list):
         raise _fields.FieldError(f"routes.{name}: traffic_split is not a list")
     shares = tuple(
-        topology.Share(
+        topology.TrafficShare(
             service=_fields.get_string(row, "service"),
             weight=_fields.get_integer(row, "weight"),
         )
--- a/wigeonrouter/platform/testing.py
+++ b/wigeonrouter/platform/testing.py
@@ -59,7 +59,7 @@
     """Return a topology.Registration as a JSON document."""
     return {
         "address": str(registration.address),
-        "born": registration.born,
+        "born": registration.started_ms,
         "info": {
             "service": registration.service,
             "version": "v1",
@@ -69,7 +69,7 @@
         "status": {
             "state": registration.state.value,
             "seq": registration.sequence,
-            "warmup_left": _fields.format_duration(registration.warm_up),
+            "warmup_left": _fields.format_duration(registration.slow_start),
         },
     }
 
