--- a/wigeonrouter/bench/_node_parts.py
+++ b/wigeonrouter/bench/_node_parts.py
@@ -73,13 +73,13 @@
     cluster_state = _cluster_state.ClusterState(
         events=_Quiet(), on_change=lambda: None
     )
-    cache = _store_cache.StoreCache(
+    store_cache = _store_cache.StoreCache(
         apply=lambda items, revision, complete: cluster_state.apply(
             feed.decode(items, complete=complete)
         )
     )
     before = _measuring.resident_bytes()
-    load = _measuring.cpu_seconds(lambda: cache.apply_update(update))
+    load = _measuring.cpu_seconds(lambda: store_cache.apply_update(update))
     return {
         "update_bytes": update.ByteSize(),
         "one_change_bytes": one.ByteSize(),
@@ -113,7 +113,7 @@
     """Measure what a hub does for a number of followers."""
     states = [_state(number) for number in range(nodes)]
     hub = _hub.Hub(
-        cache=None,
+        store_cache=None,
         own_state=lambda: states[0],
         on_roster=lambda roster: None,
         expected_members=states,
--- a/wigeonrouter/node/_node.py
+++ b/wigeonrouter/node/_node.py
@@ -96,26 +96,26 @@
             events=events,
             metrics=_metrics.RequestMetrics(metrics=self._metrics),
         )
-        self._callers = http1.CallerServer(
+        self._caller_server = http1.CallerServer(
             address=settings.caller_address,
             handler=self._proxy,
             max_connections=_MAX_CALLER_CONNECTIONS,
         )
-        entrance = _directory_handler.DirectoryHandler(
+        directory_handler = _directory_handler.DirectoryHandler(
             codec=codec,
             choose_entries=self._choose_entries,
             is_ready=lambda: self.ready,
             ttl=self._entries_ttl,
         )
-        page = _metrics.MetricsHandler(
+        metrics_handler = _metrics.MetricsHandler(
             metrics=self._metrics, read_gauges=self._read_gauges
         )
         self._auxiliary_servers = [
             http1.CallerServer(address=address, handler=handler)
             for address, handler in (
-                (settings.directory_address, entrance),
-                (settings.readiness_address, entrance),
-                (settings.control_address, page),
+                (settings.directory_address, directory_handler),
+                (settings.readiness_address, directory_handler),
+                (settings.control_address, metrics_handler),
             )
             if address is not None
         ]
@@ -156,9 +156,9 @@
 
     def start(self):
         """Start listening and following the store."""
-        self._callers.start()
-        for entrance in self._auxiliary_servers:
-            entrance.start()
+        self._caller_server.start()
+        for auxiliary_server in self._auxiliary_servers:
+            auxiliary_server.start()
         self._region_member.start()
         self._tasks = [
             gevent.spawn(self._supervise, "region", self._region_member.run),
@@ -184,21 +184,21 @@
         of the stop grace. It then waits for those in progress. Returns
         within the stop grace.
         """
-        began = time.monotonic()
+        started = time.monotonic()
         grace = self._settings.bounds.stop_grace
         self._stopping = True
         self._events.notice(
-            "stopping", requests=self._callers.requests_in_progress
+            "stopping", requests=self._caller_server.requests_in_progress
         )
-        self._callers.drain()
+        self._caller_server.drain()
         self._region_member.leave()
-        while time.monotonic() - began < grace * _ACCEPT_GRACE_SHARE:
+        while time.monotonic() - started < grace * _ACCEPT_GRACE_SHARE:
             gevent.sleep(_STOP_POLL_INTERVAL_S)
-        latest = began + grace * _DRAIN_GRACE_SHARE
-        stopping = gevent.spawn(self._callers.stop)
-        stopping.join(timeout=max(0.0, latest - time.monotonic()))
+        drain_deadline = started + grace * _DRAIN_GRACE_SHARE
+        drain_task = gevent.spawn(self._caller_server.stop)
+        drain_task.join(timeout=max(0.0, drain_deadline - time.monotonic()))
         self._events.notice(
-            "stopped", requests=self._callers.requests_in_progress
+            "stopped", requests=self._caller_server.requests_in_progress
         )
         gevent.killall(self._tasks)
 
@@ -206,7 +206,7 @@
         """Stop at once, as if the process was killed."""
         gevent.killall(self._tasks)
         self._region_member.kill()
-        for server in (self._callers, *self._auxiliary_servers):
+        for server in (self._caller_server, *self._auxiliary_servers):
             server.kill()
 
     def reload(self, settings):
@@ -263,7 +263,7 @@
                 (name, balancer.queue_length, balancer.in_flight)
                 for name, balancer in sorted(self._balancers.items())
             ),
-            unanswered_requests=self._callers.requests_in_progress,
+            unanswered_requests=self._caller_server.requests_in_progress,
             events=dict(self._events.counts),
             dropped=self._events.total_dropped,
         )
@@ -281,10 +281,7 @@
             gevent.sleep(
                 _TIMEOUTS_WRITE_INTERVAL_S * self._rng.uniform(0.5, 1.5)
             )
-            for (
-                route,
-                seconds,
-            ) in self._proxy.changed_caller_timeouts().items():
+            for route, seconds in self._proxy.changed_timeouts().items():
                 try:
                     self._feed.write_caller_timeout(
                         route=route, seconds=seconds
@@ -302,13 +299,13 @@
         if self._cluster_state.configuration is None:
             return ()
         services = self._cluster_state.routes.services_of(query.host)
-        homes = topology.home_nodes(
+        home_nodes = topology.home_nodes(
             service=services[0] if services else "",
             peers=self._region_member.peers,
             count=_HOMES_PER_SERVICE,
         )
-        if homes:
-            return tuple(home.caller_address for home in homes)
+        if home_nodes:
+            return tuple(home_node.caller_address for home_node in home_nodes)
         return (self._settings.caller_address,) if self.ready else ()
 
     def _register(self):
--- a/wigeonrouter/node/_proxy.py
+++ b/wigeonrouter/node/_proxy.py
@@ -54,7 +54,7 @@
       balancer_for: function from a service's name to its Balancer.
       sender: Sender.
       codec: the adapter's HTTP codec.
-      splitter: topology.Splitter, chooses among the services of a route.
+      splitter: topology.TrafficSplitter, chooses the service of a route.
       events: events.EventLog.
       metrics: RequestMetrics.
     """
@@ -81,7 +81,7 @@
         self._clock = clock
         self._caller_timeouts = {}
 
-    def changed_caller_timeouts(self):
+    def changed_timeouts(self):
         """Return the estimates that differ much from the stored ones.
 
         Returns:
--- a/wigeonrouter/node/_region_member.py
+++ b/wigeonrouter/node/_region_member.py
@@ -194,9 +194,9 @@
             excluded_hosts=self._avoided_hosts(),
             reaches_store=self._reaches_store,
         )
-        waits = decision.action is topology.HubAction.WAIT
-        self._hub_waits = self._hub_waits + 1 if waits else 0
-        if waits and self._hub_waits <= _MAX_HUB_WAITS:
+        should_wait = decision.action is topology.HubAction.WAIT
+        self._hub_waits = self._hub_waits + 1 if should_wait else 0
+        if should_wait and self._hub_waits <= _MAX_HUB_WAITS:
             gevent.sleep(_HUB_WAIT_S * self._rng.uniform(0.7, 1.3))
         elif decision.action is topology.HubAction.FOLLOW:
             self._run_as_follower(decision.hub)
@@ -364,13 +364,13 @@
                     if self._probe_store() or self._other_hub_reaches_store():
                         return "does not reach the store"
 
-    def _on_heartbeat(self, hub, store_answers):
-        if store_answers:
+    def _on_heartbeat(self, hub, store_reachable):
+        if store_reachable:
             self._cluster_state.on_contact()
         else:
             self._cluster_state.on_outage()
-        self._reaches_store = store_answers
-        self._set_role(topology.RoleKind.FOLLOWER, hub, store_answers)
+        self._reaches_store = store_reachable
+        self._set_role(topology.RoleKind.FOLLOWER, hub, store_reachable)
 
     def _probe_store(self):
         try:
@@ -424,10 +424,12 @@
         finally:
             channel.close()
 
-    def _set_role(self, kind, hub, store_answers):
+    def _set_role(self, kind, hub, store_reachable):
         if self._leaving:
             kind, hub = topology.RoleKind.UNDECIDED, ""
-        role = topology.Role(kind=kind, hub=hub, store_reachable=store_answers)
+        role = topology.Role(
+            kind=kind, hub=hub, store_reachable=store_reachable
+        )
         if (role.kind, role.hub) != (self._role.kind, self._role.hub):
             self._events.notice("role", kind=kind.value, hub=hub)
         self._role = role
