--- a/wigeonrouter/health/_drain_tracker_test.py
+++ b/wigeonrouter/health/_drain_tracker_test.py
@@ -34,7 +34,7 @@
 
 
 @pytest.fixture
-def tracker():
+def harness():
     """DrainTracker with one server, its gossip and the sets it applied."""
     gossip = _Gossip()
     applied = []
@@ -53,13 +53,15 @@
         services={"/s": service},
         subscribe=lambda listener: listener(replica),
     )
-    made = health.DrainTracker(
+    tracker = health.DrainTracker(
         gossip=gossip,
         store=None,
         replica=replica,
         apply_draining=applied.append,
     )
-    return types.SimpleNamespace(made=made, gossip=gossip, applied=applied)
+    return types.SimpleNamespace(
+        tracker=tracker, gossip=gossip, applied=applied
+    )
 
 
 def _listing(state):
@@ -74,26 +76,26 @@
     return store.VmListing(version=1, vms=(vm,))
 
 
-def test_each_source_ends_only_its_own_drain(tracker):
-    tracker.made.announce(_ADDRESS, True)
-    tracker.made.apply_listing(_listing("leaving"))
-    tracker.gossip.assert_fact(
+def test_each_source_ends_only_its_own_drain(harness):
+    harness.tracker.announce(_ADDRESS, True)
+    harness.tracker.apply_listing(_listing("leaving"))
+    harness.gossip.assert_fact(
         address=_ADDRESS, state="draining", source="operator"
     )
-    tracker.made.announce(_ADDRESS, False)
-    assert tracker.applied[-1] == {str(_ADDRESS)}
-    tracker.made.apply_listing(_listing("live"))
-    assert tracker.applied[-1] == {str(_ADDRESS)}
-    tracker.gossip.assert_fact(
+    harness.tracker.announce(_ADDRESS, False)
+    assert harness.applied[-1] == {str(_ADDRESS)}
+    harness.tracker.apply_listing(_listing("live"))
+    assert harness.applied[-1] == {str(_ADDRESS)}
+    harness.gossip.assert_fact(
         address=_ADDRESS, state="active", source="operator"
     )
-    assert tracker.applied[-1] == frozenset()
+    assert harness.applied[-1] == frozenset()
 
 
-def test_unchanged_vm_list_publishes_no_facts(tracker):
-    tracker.made.apply_listing(_listing("live"))
-    assert tracker.gossip.facts == ()
-    tracker.made.apply_listing(_listing("leaving"))
-    count = len(tracker.applied)
-    tracker.made.apply_listing(_listing("leaving"))
-    assert len(tracker.applied) == count
+def test_unchanged_vm_list_publishes_no_facts(harness):
+    harness.tracker.apply_listing(_listing("live"))
+    assert harness.gossip.facts == ()
+    harness.tracker.apply_listing(_listing("leaving"))
+    count = len(harness.applied)
+    harness.tracker.apply_listing(_listing("leaving"))
+    assert len(harness.applied) == count
--- a/wigeonrouter/health/_processes_test.py
+++ b/wigeonrouter/health/_processes_test.py
@@ -28,16 +28,16 @@
 @pytest.fixture
 def backends():
     """Three backend server stand-ins in this process."""
-    made = [
+    started = [
         standins.BackendStandin(
             address=core.Address(host="127.0.0.1", port=port), service_ms=20
         )
         for port in _ports.free_ports(_BACKENDS)
     ]
-    for standin in made:
+    for standin in started:
         standin.start()
-    yield made
-    for standin in made:
+    yield started
+    for standin in started:
         standin.stop()
 
 
@@ -46,24 +46,28 @@
     """A store and two configured daemons in different failure domains."""
     (store,) = _ports.free_addresses(1)
     ports = [_ports.free_ports(3) for _ in range(2)]
-    with _processes.Fleet() as made:
-        made.start_store(store)
-        for number, own in enumerate(ports):
-            made.start_daemon(
+    with _processes.Fleet() as running_fleet:
+        running_fleet.start_store(store)
+        for number, daemon_ports in enumerate(ports):
+            running_fleet.start_daemon(
                 daemon_id=f"d{number}",
                 place=core.Place(region="r", failure_domain=f"r-{number}"),
-                ports=own,
+                ports=daemon_ports,
                 store=store,
                 seeds=[f"127.0.0.1:{ports[0][2]}"],
             )
-        made.admins = [f"127.0.0.1:{own[1]}" for own in ports]
-        made.callers = [own[0] for own in ports]
+        running_fleet.admins = [
+            f"127.0.0.1:{daemon_ports[1]}" for daemon_ports in ports
+        ]
+        running_fleet.callers = [daemon_ports[0] for daemon_ports in ports]
         path = tmp_path / "settings.json"
         path.write_text(json.dumps(_document(backends)))
-        _processes.run_cli("apply", "/s", str(path), server=made.admins[0])
-        for port in made.callers:
+        _processes.run_cli(
+            "apply", "/s", str(path), server=running_fleet.admins[0]
+        )
+        for port in running_fleet.callers:
             _wait(lambda port=port: _send(port, 1) == [200])
-        yield made
+        yield running_fleet
 
 
 def _document(backends):
--- a/wigeonrouter/http1/_chunks.py
+++ b/wigeonrouter/http1/_chunks.py
@@ -66,7 +66,9 @@
             return False
         line = self._buffer[self._position : end]
         if end < 0 or not _SIZE_LINE.fullmatch(line):
-            raise _messages.MalformedMessage(self._invalid, "bad chunk size")
+            raise _messages.MalformedMessage(
+                self._invalid, "invalid chunk size"
+            )
         size = int(line, 16)
         if len(self.body) + size > self._max_body_bytes:
             raise _messages.MalformedMessage(self._too_large)
@@ -83,7 +85,9 @@
         if self._chunk_bytes_left or len(self._buffer) < end + 2:
             return False
         if self._buffer[end : end + 2] != b"\r\n":
-            raise _messages.MalformedMessage(self._invalid, "bad chunk end")
+            raise _messages.MalformedMessage(
+                self._invalid, "chunk data is not followed by CRLF"
+            )
         self._position = end + 2
         self._chunk_bytes_left = None
         self._complete = self._in_last_chunk
--- a/wigeonrouter/http1/_messages.py
+++ b/wigeonrouter/http1/_messages.py
@@ -48,7 +48,7 @@
 _RESPONSE_HEAD = re.compile(
     rb"HTTP/1\.[01] [1-5][0-9]{2}(?: [\t -~\x80-\xff]*+)?\r\n" + _HEADER_LINES
 )
-_NO_NAMES = frozenset()
+_NO_HEADER_NAMES = frozenset()
 _CONTENT_LENGTH = re.compile(rb"[0-9]{1,12}")
 
 
@@ -126,7 +126,7 @@
     """Raise MalformedMessage unless the bytes are one valid request head."""
     if not _REQUEST_HEAD.fullmatch(head):
         raise MalformedMessage(
-            core.problems.BAD_REQUEST, "bad request line or header line"
+            core.problems.BAD_REQUEST, "invalid request line or header line"
         )
 
 
@@ -134,7 +134,7 @@
     """Raise MalformedMessage unless the bytes are one valid response head."""
     if not _RESPONSE_HEAD.fullmatch(head):
         raise MalformedMessage(
-            core.problems.ANSWER_INVALID, "bad status line or header line"
+            core.problems.ANSWER_INVALID, "invalid status line or header line"
         )
 
 
@@ -198,7 +198,7 @@
     if length is None:
         return 0
     if not _CONTENT_LENGTH.fullmatch(length):
-        raise MalformedMessage(problem, "bad Content-Length")
+        raise MalformedMessage(problem, "invalid Content-Length")
     return int(length)
 
 
@@ -234,7 +234,7 @@
     """
     value = fields.get(b"connection")
     if value is None:
-        return _NO_NAMES
+        return _NO_HEADER_NAMES
     return (
         frozenset(name.strip(b" \t").lower() for name in value.split(b","))
         - CONTROL_HEADERS
--- a/wigeonrouter/http1/_pauses.py
+++ b/wigeonrouter/http1/_pauses.py
@@ -8,7 +8,7 @@
 
 import gevent
 
-_TICK_S = 0.1
+_TICK_INTERVAL_S = 0.1
 # Longer than a garbage collection or a short overload delays a tick.
 _MIN_PAUSE_S = 0.4
 # Time after a pause within which the requests that arrived in it are read.
@@ -58,5 +58,5 @@
 
     def _run(self):
         while True:
-            gevent.sleep(_TICK_S)
+            gevent.sleep(_TICK_INTERVAL_S)
             self.tick()
--- a/wigeonrouter/http1/_pool.py
+++ b/wigeonrouter/http1/_pool.py
@@ -207,7 +207,7 @@
 
     def _connect(self, address, now, deadline):
         if now >= deadline:
-            raise ConnectFailed("no time left to connect")
+            raise ConnectFailed("deadline passed before connecting")
         try:
             sock = socket.create_connection(
                 (address.host, address.port), timeout=deadline - now
--- a/wigeonrouter/http1/_server.py
+++ b/wigeonrouter/http1/_server.py
@@ -15,11 +15,11 @@
 from wigeonrouter.http1 import _request_reader
 
 MAX_CONNECTIONS = 10_000
-_BACKLOG = 1024
+_LISTEN_BACKLOG = 1024
 # Longer than it takes to handle a request with the longest timeout.
 _STOP_TIMEOUT_S = 45.0
 _STOP_POLL_S = 0.02
-_SWEEP_INTERVAL_S = 0.5
+_EXPIRY_CHECK_INTERVAL_S = 0.5
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
@@ -41,7 +41,7 @@
         # Connections that wait for bytes, in the order of their start.
         self._waiting = collections.OrderedDict()
         self._pauses = _pauses.PauseDetector()
-        self._sweeper = None
+        self._expiry_task = None
         self._last_arrival = time.monotonic()
         # Bound here, so that an address in use raises at once. The kernel
         # refuses connections until start() listens.
@@ -72,10 +72,10 @@
 
     def start(self):
         """Start to accept connections."""
-        self._listener.listen(_BACKLOG)
+        self._listener.listen(_LISTEN_BACKLOG)
         self._server.start()
         self._pauses.start()
-        self._sweeper = gevent.spawn(self._expire_overdue)
+        self._expiry_task = gevent.spawn(self._expire_overdue)
 
     def drain(self):
         """Add Connection: close to all further responses."""
@@ -95,15 +95,15 @@
             gevent.sleep(_STOP_POLL_S)
         self._server.stop(timeout=1)
         self._pauses.stop()
-        if self._sweeper is not None:
-            gevent.kill(self._sweeper)
+        if self._expiry_task is not None:
+            gevent.kill(self._expiry_task)
 
     def kill(self):
         """Close the listener and all connections immediately."""
         self._server.stop(timeout=0)
         self._pauses.stop()
-        if self._sweeper is not None:
-            gevent.kill(self._sweeper)
+        if self._expiry_task is not None:
+            gevent.kill(self._expiry_task)
 
     def _serve(self, sock, _):
         connection = _caller_connection.CallerConnection(sock=sock)
@@ -196,7 +196,7 @@
 
     def _expire_overdue(self):
         while True:
-            gevent.sleep(_SWEEP_INTERVAL_S)
+            gevent.sleep(_EXPIRY_CHECK_INTERVAL_S)
             now = time.monotonic()
             for connection in list(self._waiting):
                 if connection.deadline < now and not connection.expired:
--- a/wigeonrouter/request_path/_forwarder_test.py
+++ b/wigeonrouter/request_path/_forwarder_test.py
@@ -245,8 +245,8 @@
     }[waiting_for]
     wait = getattr(owner, name)
 
-    def wait_and_pass_deadline(*arguments, **named):
-        result = wait(*arguments, **named)
+    def wait_and_pass_deadline(*arguments, **keywords):
+        result = wait(*arguments, **keywords)
         clock_offset[0] = 1000.0
         return result
 
@@ -267,24 +267,26 @@
     ]
     with pytest.raises(_pool.ConnectFailed):
         pool.checkout(address=address, limit=2, deadline=pool._clock() + 0.01)
-    waiting = gevent.spawn(
+    waiter = gevent.spawn(
         pool.checkout, address=address, limit=2, deadline=deadline
     )
-    cancelled = gevent.spawn(
+    cancelled_waiter = gevent.spawn(
         pool.checkout, address=address, limit=2, deadline=deadline
     )
     gevent.sleep(0)
-    cancelled.kill()
+    cancelled_waiter.kill()
     pool.checkin(address, held[0])
-    assert waiting.get(timeout=5) is held[0]
-    handed = gevent.spawn(
+    assert waiter.get(timeout=5) is held[0]
+    cancelled_after_grant = gevent.spawn(
         pool.checkout, address=address, limit=2, deadline=deadline
     )
     gevent.sleep(0)
     # The task is cancelled after it was given the permit and before it runs.
-    gevent.get_hub().loop.run_callback(handed.throw, gevent.GreenletExit)
+    gevent.get_hub().loop.run_callback(
+        cancelled_after_grant.throw, gevent.GreenletExit
+    )
     pool.discard(address, held[1])
-    handed.join(timeout=5)
+    cancelled_after_grant.join(timeout=5)
     pool.discard(address, held[0])
     assert pool.in_use == 0
 
