--- a/wigeonrouter/dispatch/_server_table_test.py
+++ b/wigeonrouter/dispatch/_server_table_test.py
@@ -70,7 +70,7 @@
             )
 
     @stateful.invariant()
-    def groups_are_those_of_a_new_table(self):
+    def groups_match_a_rebuilt_table(self):
         eligible = [
             view
             for view in self.table.views
--- a/wigeonrouter/entries/_homes.py
+++ b/wigeonrouter/entries/_homes.py
@@ -61,10 +61,10 @@
       A list of core.Member, the first home first; empty if no daemon of the
       caller's region or failure domain is alive.
     """
-    area_key = _area_key(service.routing.entry_scope)
-    own_area = area_key(place)
+    scope_key = _scope_key(service.routing.entry_scope)
+    own_scope = scope_key(place)
     local = [
-        member for member in members if area_key(member.place) == own_area
+        member for member in members if scope_key(member.place) == own_scope
     ]
     return _rank_members(service, local)[: service.routing.homes]
 
@@ -181,7 +181,7 @@
     return first_of_region + rest
 
 
-def _area_key(scope):
+def _scope_key(scope):
     if scope == "failure-domain":
         return lambda place: (place.region, place.failure_domain)
     return lambda place: place.region
--- a/wigeonrouter/entries/_homes_test.py
+++ b/wigeonrouter/entries/_homes_test.py
@@ -69,7 +69,7 @@
 
 
 @pytest.mark.parametrize("scope", ["region", "failure-domain"])
-def test_homes_lie_in_the_callers_area(scope):
+def test_homes_are_in_the_callers_scope(scope):
     service = _service(entry_scope=scope, homes=2)
     homes = [entry for entry in _choose(service) if entry.home]
     assert len(homes) == 2
--- a/wigeonrouter/limits/_queue_test.py
+++ b/wigeonrouter/limits/_queue_test.py
@@ -89,7 +89,7 @@
         self.naive.forget()
 
     @stateful.rule(tenant=_TENANTS)
-    def displace(self, tenant):
+    def evict(self, tenant):
         """A tenant above its share must not evict another tenant's item."""
         entry = self.queue.find_evictable(tenant)
         if entry is None:
@@ -122,7 +122,7 @@
 TestFairQueue = FairQueueMachine.TestCase
 
 
-def _served(queue, count):
+def _serve(queue, count):
     shares = {}
     for _ in range(count):
         entry = queue.peek()
@@ -135,9 +135,9 @@
     queue = limits.FairQueue()
     for number in range(200):
         queue.push(tenant="noisy", key=number, item=None)
-    _served(queue, 50)
+    _serve(queue, 50)
     queue.push(tenant="quiet", key=1000, item=None)
-    assert "quiet" in _served(queue, 2)
+    assert "quiet" in _serve(queue, 2)
 
 
 def test_weights_divide_the_slots():
@@ -145,7 +145,7 @@
     for number in range(100):
         queue.push(tenant="a", key=number, item=None)
         queue.push(tenant="b", key=number, item=None)
-    assert _served(queue, 80) == {"a": 60, "b": 20}
+    assert _serve(queue, 80) == {"a": 60, "b": 20}
 
 
 def test_tenants_are_charged_by_slot_time():
