--- a/wigeonrouter/bench/_node_parts.py
+++ b/wigeonrouter/bench/_node_parts.py
@@ -49,7 +49,7 @@
 
     def apply_version():
         items, _ = _store_cache.decode_update(update)
-        cluster_state.apply(feed.decode(items, whole=False))
+        cluster_state.apply(feed.decode(items, complete=False))
 
     before = _measuring.resident_bytes()
     first = _measuring.cpu_seconds(apply_version)
@@ -66,20 +66,20 @@
     """Measure a node's copy of the registrations of backend servers."""
     items = [_registration_item(number) for number in range(servers)]
     update = _store_cache.encode_update(
-        items=items, revision=servers, whole=True
+        items=items, revision=servers, complete=True
     )
     one = _store_cache.encode_update(items=items[:1], revision=servers + 1)
     feed = testing.make_feed(_DOMAINS)
     cluster_state = _cluster_state.ClusterState(
         events=_Quiet(), on_change=lambda: None
     )
-    cache = _store_cache.StoreCache(
-        apply=lambda items, revision, whole: cluster_state.apply(
-            feed.decode(items, whole=whole)
+    store_cache = _store_cache.StoreCache(
+        apply=lambda items, revision, complete: cluster_state.apply(
+            feed.decode(items, complete=complete)
         )
     )
     before = _measuring.resident_bytes()
-    load = _measuring.cpu_seconds(lambda: cache.apply_update(update))
+    load = _measuring.cpu_seconds(lambda: store_cache.apply_update(update))
     return {
         "update_bytes": update.ByteSize(),
         "one_change_bytes": one.ByteSize(),
@@ -113,7 +113,7 @@
     """Measure what a hub does for a number of followers."""
     states = [_state(number) for number in range(nodes)]
     hub = _hub.Hub(
-        cache=None,
+        store_cache=None,
         own_state=lambda: states[0],
         on_roster=lambda roster: None,
         expected_members=states,
