--- a/wigeonrouter/soak/_checks.py
+++ b/wigeonrouter/soak/_checks.py
@@ -111,7 +111,7 @@
         if (
             not request.idempotent
             and request.reply is not None
-            and request.reply.promises_not_run
+            and request.reply.promises_not_executed
             and executions[request.request_id]
         ):
             yield _violation("rejected request not executed", str(request))
--- a/wigeonrouter/soak/_environment.py
+++ b/wigeonrouter/soak/_environment.py
@@ -46,7 +46,7 @@
             instance=instance,
             service=service,
             zone=domain,
-            work=_SERVICE_TIME_S,
+            service_time=_SERVICE_TIME_S,
         )
         self.proxy = _fault_proxy.FaultProxy(
             listen=("127.0.0.1", port), target=("127.0.0.1", self.server.port)
@@ -60,10 +60,10 @@
         """Instance id; names the server in a FaultPeriod."""
         return self.instance
 
-    def entry(self):
+    def registration(self):
         """Return a registration with the next sequence number."""
         self.sequence += 1
-        return self.server.entry(
+        return self.server.registration(
             state="draining" if self.draining else "ready",
             sequence=self.sequence,
             address=f"127.0.0.1:{self.proxy.port}",
@@ -143,7 +143,9 @@
 
     def register(self, backend):
         """Write the registration of a backend server to the store."""
-        self.store.put(testing.server_key(backend.instance), backend.entry())
+        self.store.put(
+            testing.server_key(backend.instance), backend.registration()
+        )
 
     def drain(self, backend):
         """Drain a backend server, wait _DRAIN_DURATION_S and remove it."""
@@ -273,7 +275,7 @@
         response = self.sender.send_directly(node, route)
         if response is not None and incarnation == node.incarnation:
             found = not response.not_found
-            if response.promises_not_run:
+            if response.promises_not_executed:
                 # A node that has just started has no configuration yet and
                 # rejects the probe.
                 found = None
--- a/wigeonrouter/soak/_faults.py
+++ b/wigeonrouter/soak/_faults.py
@@ -247,10 +247,10 @@
     """Makes some backend servers slower by a factor of 2 to 10."""
     chosen = _sample_backends(environment, rng)
     for backend in chosen:
-        backend.server.slowness = rng.uniform(2, 10)
+        backend.server.slowdown = rng.uniform(2, 10)
     gevent.sleep(rng.uniform(*_LONG_DURATION_S))
     for backend in chosen:
-        backend.server.slowness = 1.0
+        backend.server.slowdown = 1.0
 
 
 @fault_kind
