--- a/wigeonrouter/node/_cluster_state.py
+++ b/wigeonrouter/node/_cluster_state.py
@@ -59,11 +59,11 @@
         """Return the frozenset of hosts registered as nodes of a region."""
         return frozenset(self._hosts.get(region, ()))
 
-    def on_outage(self):
+    def on_store_outage(self):
         """Record that the store is unreachable."""
         self._directory.on_store_outage()
 
-    def on_contact(self):
+    def on_store_contact(self):
         """Record that the store is reachable."""
         self._directory.on_store_contact(self._clock())
 
--- a/wigeonrouter/node/_prober.py
+++ b/wigeonrouter/node/_prober.py
@@ -38,7 +38,7 @@
         self._pool = pool
         self._codec = codec
         self._clock = clock
-        self._running = {}
+        self._running_probes = {}
 
     def probe(self, targets, *, timeout, deliver):
         """Probe servers in parallel and wait for the results.
@@ -55,12 +55,12 @@
         tasks = []
         for registration, path in targets:
             instance = registration.instance
-            task = self._running.get(instance)
+            task = self._running_probes.get(instance)
             if task is None:
                 task = gevent.spawn(
                     self._run, registration, path, timeout, deliver
                 )
-                self._running[instance] = task
+                self._running_probes[instance] = task
             tasks.append(task)
         gevent.joinall(tasks, timeout=timeout)
 
@@ -68,7 +68,7 @@
         try:
             result = self._exchange(registration, path, timeout)
         finally:
-            self._running.pop(registration.instance, None)
+            self._running_probes.pop(registration.instance, None)
         deliver(registration.instance, result)
 
     def _exchange(self, registration, path, timeout):
@@ -105,9 +105,9 @@
                 self._pool.checkin(address, connection)
             else:
                 self._pool.discard(address, connection)
-        return self._read(registration, response, started)
+        return self._parse_response(registration, response, started)
 
-    def _read(self, registration, response, started):
+    def _parse_response(self, registration, response, started):
         metadata = self._codec.read_response(response)
         return ProbeResult(
             healthy=response.status == 200,
--- a/wigeonrouter/node/_region_member.py
+++ b/wigeonrouter/node/_region_member.py
@@ -164,7 +164,7 @@
         try:
             listing = self._feed.list(stale=True)
             self._reaches_store = True
-            self._cluster_state.on_contact()
+            self._cluster_state.on_store_contact()
             self._store_cache.replace_all(listing.items, listing.revision)
             return
         except store.StoreError as error:
@@ -263,8 +263,8 @@
             events=self._events,
             rng=self._rng,
             on_update=self._hub.broadcast_update,
-            on_contact=self._on_store_contact,
-            on_outage=self._on_store_outage,
+            on_store_contact=self._on_store_contact,
+            on_store_outage=self._on_store_outage,
         )
 
     def _should_step_down(self):
@@ -284,12 +284,12 @@
                 "store-regained", revision=self._store_cache.revision
             )
         self._reaches_store = True
-        self._cluster_state.on_contact()
+        self._cluster_state.on_store_contact()
         self._hub.set_store_reachable(True)
         self._set_role(topology.RoleKind.HUB, self._settings.host, True)
 
     def _on_store_outage(self, error, failures):
-        self._cluster_state.on_outage()
+        self._cluster_state.on_store_outage()
         if self._reaches_store or failures == 1:
             self._events.notice("store-lost", error=str(error))
         self._reaches_store = False
@@ -366,9 +366,9 @@
 
     def _on_heartbeat(self, hub, store_reachable):
         if store_reachable:
-            self._cluster_state.on_contact()
+            self._cluster_state.on_store_contact()
         else:
-            self._cluster_state.on_outage()
+            self._cluster_state.on_store_outage()
         self._reaches_store = store_reachable
         self._set_role(topology.RoleKind.FOLLOWER, hub, store_reachable)
 
--- a/wigeonrouter/node/_store_reader.py
+++ b/wigeonrouter/node/_store_reader.py
@@ -23,9 +23,9 @@
       events: events.EventLog.
       rng: random.Random, for the jitter of the backoff.
       on_update: called with the Update message of each change.
-      on_contact: called without arguments after each successful call.
-      on_outage: called after each failed call, with the StoreError and the
-        number of consecutive failures.
+      on_store_contact: called without arguments after each successful call.
+      on_store_outage: called after each failed call, with the StoreError and
+        the number of consecutive failures.
     """
 
     def __init__(
@@ -36,16 +36,16 @@
         events,
         rng,
         on_update,
-        on_contact,
-        on_outage,
+        on_store_contact,
+        on_store_outage,
     ):
         self._store_cache = store_cache
         self._feed = feed
         self._events = events
         self._rng = rng
         self._on_update = on_update
-        self._on_contact = on_contact
-        self._on_outage = on_outage
+        self._on_store_contact = on_store_contact
+        self._on_store_outage = on_store_outage
 
     def run(self):
         """Watch the store until the task is killed.
@@ -58,7 +58,7 @@
                 self._read_once()
             except store.StoreError as error:
                 failures += 1
-                self._on_outage(error, failures)
+                self._on_store_outage(error, failures)
                 backoff = min(
                     _MAX_BACKOFF_S,
                     _MIN_BACKOFF_S * 2 ** min(8, failures - 1),
@@ -78,7 +78,7 @@
             )
             self._relist()
             return
-        self._on_contact()
+        self._on_store_contact()
         self._store_cache.apply_changes(events.changes, events.revision)
         if not events.changes:
             return
@@ -92,6 +92,6 @@
     def _relist(self):
         before = self._store_cache.revision
         listing = self._feed.list()
-        self._on_contact()
+        self._on_store_contact()
         self._store_cache.replace_all(listing.items, listing.revision)
         self._on_update(self._store_cache.update_since(before))
--- a/wigeonrouter/platform/_end_to_end_test.py
+++ b/wigeonrouter/platform/_end_to_end_test.py
@@ -168,15 +168,15 @@
 
 def test_draining_server_gets_no_new_requests(store, backend, node, caller):
     """Guards against sending new requests to a draining server."""
-    leaving, _ = start_ready(backend, node, "i-1", "i-2")
+    draining, _ = start_ready(backend, node, "i-1", "i-2")
     store.put(
-        "servers/i-1", leaving.registration(state="draining", sequence=2)
+        "servers/i-1", draining.registration(state="draining", sequence=2)
     )
     gevent.sleep(0.5)
-    before = len(leaving.runs)
+    before = len(draining.runs)
     for _ in range(10):
         assert caller.send("/read/a").status == 200
-    assert len(leaving.runs) == before
+    assert len(draining.runs) == before
 
 
 def test_reused_address_does_not_run_misdirected_requests(
@@ -187,10 +187,10 @@
     The address of a server is taken by one of another service before the
     node is notified.
     """
-    (old,) = start_ready(backend, node, "i-1")
-    old.instance, old.service = "i-9", "beta"
+    (reassigned,) = start_ready(backend, node, "i-1")
+    reassigned.instance, reassigned.service = "i-9", "beta"
     response = caller.send("/write/a", method="POST", body=b"x")
-    assert response.status == 503 and not old.runs
+    assert response.status == 503 and not reassigned.runs
 
 
 @pytest.mark.parametrize(
@@ -323,14 +323,14 @@
     start_ready(backend, node, "i-1", service_time=0.2)
     task = gevent.spawn(caller.send, "/read/a")
     gevent.sleep(0.05)
-    stopping = gevent.spawn(node.stop)
+    stop_task = gevent.spawn(node.stop)
     gevent.sleep(0.05)
     assert not node.ready
-    late = caller.send("/read/b")
-    assert late.status == 200
-    assert late.headers["connection"] == "close"
+    late_response = caller.send("/read/b")
+    assert late_response.status == 200
+    assert late_response.headers["connection"] == "close"
     assert task.get().status == 200
-    stopping.join()
+    stop_task.join()
 
 
 def test_stored_caller_timeout_survives_a_restart(
@@ -402,18 +402,18 @@
     store, backend, node, caller
 ):
     """Guards against queueing requests that no server is left to handle."""
-    patient = conftest.configuration(2)
-    patient["routes"]["r-read"].update(
+    patient_configuration = conftest.configuration(2)
+    patient_configuration["routes"]["r-read"].update(
         target_latency="2500ms", timeout="3000ms"
     )
-    store.put("op/config", patient)
+    store.put("op/config", patient_configuration)
     (server,) = start_ready(backend, node, "i-1", slots=1, service_time=0.8)
     running = gevent.spawn(caller.send, "/write/a", method="POST", body=b"x")
     wait_until(lambda: server.runs)
-    waiting = gevent.spawn(caller.send, "/read/b", remaining=5000)
+    queued = gevent.spawn(caller.send, "/read/b", remaining=5000)
     gevent.sleep(0.1)
     store.remove("servers/i-1")
-    response = waiting.get(timeout=3)
+    response = queued.get(timeout=3)
     assert response.status == 503 and response.seconds < 0.6
     assert running.get().status == 200
 
--- a/wigeonrouter/platform/_multi_node_test.py
+++ b/wigeonrouter/platform/_multi_node_test.py
@@ -85,13 +85,13 @@
     (hub,) = hubs(region)
     hub.kill()
     add_route(store, 2)
-    rest = [node for node in region if node is not hub]
-    for caller in callers_of(rest):
+    remaining_nodes = [node for node in region if node is not hub]
+    for caller in callers_of(remaining_nodes):
         wait_until(
             lambda caller=caller: caller.send("/new/a").status == 200,
             timeout=_CONFIG_APPLY_S,
         )
-    assert len(hubs(rest)) == 1
+    assert len(hubs(remaining_nodes)) == 1
 
 
 def test_all_nodes_return_the_same_home(region):
@@ -113,14 +113,14 @@
     directory = conftest.Caller(address=region[0].settings.directory_address)
     query = f"/api/resolve?name={conftest.HOST}&region=r1"
     home = directory.send(query).body
-    stopping = next(
+    stopping_node = next(
         node
         for node in region
         if str(node.settings.caller_address).encode() in home
     )
-    task = gevent.spawn(stopping.stop)
-    asked = next(node for node in region if node is not stopping)
-    directory = conftest.Caller(address=asked.settings.directory_address)
+    task = gevent.spawn(stopping_node.stop)
+    other_node = next(node for node in region if node is not stopping_node)
+    directory = conftest.Caller(address=other_node.settings.directory_address)
     wait_until(lambda: directory.send(query).body != home, timeout=1.0)
     task.join()
 
--- a/wigeonrouter/platform/_settings_test.py
+++ b/wigeonrouter/platform/_settings_test.py
@@ -69,7 +69,7 @@
 def test_invalid_field_is_rejected(settings_file, name, value):
     """Guards against a node that starts with misread settings."""
     lines = _LINES.replace(
-        next(li for li in _LINES.splitlines() if li.startswith(name)),
+        next(row for row in _LINES.splitlines() if row.startswith(name)),
         f"{name}={value}",
     )
     with pytest.raises(_settings.SettingsError):
@@ -79,20 +79,24 @@
 def test_change_is_reported_once(settings_file):
     """Guards against a reload at every poll of the file."""
     path = settings_file()
-    watch = _settings.SettingsFile(path=path, current=_settings.load(path))
-    assert watch.read() is None
+    settings_changes = _settings.SettingsFile(
+        path=path, current=_settings.load(path)
+    )
+    assert settings_changes.read() is None
     settings_file(_LINES.replace("grace=6s", "grace=9s"))
-    assert watch.read().bounds.stop_grace == 9.0
-    assert watch.read() is None
+    assert settings_changes.read().bounds.stop_grace == 9.0
+    assert settings_changes.read() is None
 
 
 def test_invalid_change_is_reported_once_and_ignored(settings_file):
     """Guards against a log line per second for one invalid file."""
     path = settings_file()
-    watch = _settings.SettingsFile(path=path, current=_settings.load(path))
+    settings_changes = _settings.SettingsFile(
+        path=path, current=_settings.load(path)
+    )
     settings_file(_LINES.replace("heartbeat=1500ms", "heartbeat=x"))
     with pytest.raises(_settings.SettingsError):
-        watch.read()
-    assert watch.read() is None
+        settings_changes.read()
+    assert settings_changes.read() is None
     settings_file()
-    assert watch.read() is None
+    assert settings_changes.read() is None
