--- a/wigeonrouter/bench/_control.py
+++ b/wigeonrouter/bench/_control.py
@@ -20,7 +20,7 @@
 from wigeonrouter import settings
 from wigeonrouter import standins
 from wigeonrouter import store as store_api
-from wigeonrouter.bench import _nodes
+from wigeonrouter.bench import _in_process_daemons
 from wigeonrouter.bench import _ports
 from wigeonrouter.bench import _processes
 from wigeonrouter.bench import _result_lines
@@ -84,7 +84,7 @@
     """
     store = standins.StoreStandin(address=_LOOPBACK)
     store.start()
-    nodes = _nodes.Nodes(store.port)
+    nodes = _in_process_daemons.InProcessDaemons(store.port)
     rng = random.Random(seed)
     try:
         fleet = nodes.start_fleet(
--- a/wigeonrouter/bench/_nodes.py
+++ b/wigeonrouter/bench/_in_process_daemons.py
@@ -1,4 +1,4 @@
-"""Daemons in one process, without request path, for tests and measurements."""
+"""Daemons without request path in one process, for tests and benchmarks."""
 
 import dataclasses
 import random
@@ -16,15 +16,15 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Node:
-    """One daemon's replica, gossip and replication."""
+class InProcessDaemon:
+    """Replica, gossip and replication of one daemon."""
 
     replica: configuration.Replica
     gossip: membership.Gossip
     replication: membership.Replication
     server: membership.PeerServer
     store: store_api.Store
-    # Ids of the daemons whose calls are dropped.
+    # Ids of the daemons whose calls this daemon drops.
     dropped: set
 
     @property
@@ -38,23 +38,33 @@
         self.store.close()
 
 
-class Nodes:
-    """Starts nodes and ends them."""
+class InProcessDaemons:
+    """Starts daemons and stops them."""
 
     def __init__(self, store_port):
         self._store_port = store_port
-        # Each gRPC server occupies a thread of gevent's pool. With ten, all
-        # calls in the process time out; a daemon has only one server.
+        # Each gRPC server occupies a thread of gevent's pool. With the
+        # default of ten threads, all calls in the process time out. A real
+        # daemon has only one server.
         gevent.get_hub().threadpool.maxsize = _MAX_THREADS
-        self._nodes = []
+        self._daemons = []
 
     def start(self, *, region="north", domain="a", seeds=(), ready=True):
-        """Start a node and wait until it is ready."""
-        number = len(self._nodes)
+        """Start a daemon and wait until it is ready.
+
+        Args:
+          region: its region.
+          domain: suffix of its failure domain, after the region.
+          seeds: peer addresses.
+          ready: whether to wait.
+        Returns:
+          InProcessDaemon.
+        """
+        index = len(self._daemons)
         (port,) = _ports.free_ports(1)
         address = core.Address(host="127.0.0.1", port=port)
-        own = core.Member(
-            daemon_id=f"node-{number}",
+        own_member = core.Member(
+            daemon_id=f"node-{index}",
             incarnation=int(time.time() * 1000),
             state=core.MemberState.ALIVE,
             place=core.Place(
@@ -70,16 +80,16 @@
             timeout=0.3,
         )
         replica = configuration.Replica()
-        rng = random.Random(number)
+        rng = random.Random(index)
         gossip = membership.Gossip(
-            own=own,
+            own=own_member,
             seeds=seeds,
             replica=replica,
             rng=rng,
             claim_handler=lambda request: None,
         )
         dropped = set()
-        node = Node(
+        daemon = InProcessDaemon(
             replica=replica,
             gossip=gossip,
             replication=membership.Replication(
@@ -95,38 +105,49 @@
             store=store,
             dropped=dropped,
         )
-        self._nodes.append(node)
-        node.server.start()
+        self._daemons.append(daemon)
+        daemon.server.start()
         gossip.start()
-        node.replication.start()
+        daemon.replication.start()
         if ready:
-            wait_for(lambda: node.replication.ready)
-        return node
+            wait_for(lambda: daemon.replication.ready)
+        return daemon
 
     def start_fleet(self, places):
-        """Start one node at each (region, failure domain)."""
-        nodes = []
+        """Start one daemon for each (region, failure domain).
+
+        Args:
+          places: pairs of arguments of start().
+        Returns:
+          A list of InProcessDaemon that all see each other as alive.
+        """
+        daemons = []
         for region, domain in places:
-            seeds = [nodes[0].gossip.table.own.peer_address] if nodes else []
-            nodes.append(self.start(region=region, domain=domain, seeds=seeds))
+            seeds = (
+                [daemons[0].gossip.table.own.peer_address] if daemons else []
+            )
+            daemons.append(
+                self.start(region=region, domain=domain, seeds=seeds)
+            )
         wait_for(
             lambda: all(
-                len(node.gossip.table.alive) == len(nodes) for node in nodes
+                len(daemon.gossip.table.alive) == len(daemons)
+                for daemon in daemons
             )
         )
-        return nodes
+        return daemons
 
     def stop(self):
-        for node in self._nodes:
-            node.stop()
+        for daemon in self._daemons:
+            daemon.stop()
 
 
 def wait_for(condition, *, seconds=30.0):
-    """Wait for a condition.
+    """Wait until a function returns true; fail after some seconds.
 
-    The time only bounds a failing test; no verdict depends on it.
+    The timeout only limits how long a failing test runs.
     """
-    ends = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     while not condition():
-        assert time.monotonic() < ends, "condition was not met"
+        assert time.monotonic() < deadline, "condition was not met"
         gevent.sleep(0.02)
--- a/wigeonrouter/membership/_gossip_test.py
+++ b/wigeonrouter/membership/_gossip_test.py
@@ -10,7 +10,7 @@
 
 from wigeonrouter import configuration
 from wigeonrouter import core
-from wigeonrouter.bench import _nodes
+from wigeonrouter.bench import _in_process_daemons
 from wigeonrouter.membership import _codec
 from wigeonrouter.membership import conftest
 from wigeonrouter.schema import peer_pb2
@@ -52,7 +52,7 @@
     domains = {fleet[0].gossip.table.find(name).place for name in acknowledged}
     assert len(domains) >= 2
     assert fleet[0].gossip.table.own.place not in domains
-    _nodes.wait_for(
+    _in_process_daemons.wait_for(
         lambda: all(n.replica.revision == entry.revision for n in fleet)
     )
 
@@ -63,7 +63,9 @@
     fleet = nodes.start_fleet(_FLEET)
     fleet[0].replication.accept(_proposal("a")).unwrap()
     store_standin.inject(store_pb2.FaultCall(down=True))
-    _nodes.wait_for(lambda: all(n.replica.revision == 1 for n in fleet))
+    _in_process_daemons.wait_for(
+        lambda: all(n.replica.revision == 1 for n in fleet)
+    )
     rejected = fleet[1].replication.accept(_proposal("b"))
     assert isinstance(rejected.failure(), configuration.StoreDown)
     joiner = nodes.start(seeds=[fleet[3].gossip.table.own.peer_address])
@@ -80,7 +82,9 @@
             )
         ]
     )
-    _nodes.wait_for(lambda: all(n.replica.revision == 1 for n in fleet))
+    _in_process_daemons.wait_for(
+        lambda: all(n.replica.revision == 1 for n in fleet)
+    )
 
 
 def test_a_new_daemon_without_store_and_peers_is_not_ready(
@@ -91,12 +95,12 @@
     second = nodes.start(
         seeds=[first.gossip.table.own.peer_address], ready=False
     )
-    _nodes.wait_for(lambda: second.gossip.joined)
-    _nodes.wait_for(lambda: first.gossip.rounds > 2)
+    _in_process_daemons.wait_for(lambda: second.gossip.joined)
+    _in_process_daemons.wait_for(lambda: first.gossip.rounds > 2)
     assert not first.replication.ready
     assert not second.replication.ready
     store_standin.inject(store_pb2.FaultCall())
-    _nodes.wait_for(lambda: second.replication.ready)
+    _in_process_daemons.wait_for(lambda: second.replication.ready)
 
 
 def test_only_one_daemon_of_a_region_watches_the_store(nodes, store_standin):
@@ -115,7 +119,9 @@
         expected_version=0,
         value=entry.SerializeToString(),
     )
-    _nodes.wait_for(lambda: all(n.replica.revision == 1 for n in fleet))
+    _in_process_daemons.wait_for(
+        lambda: all(n.replica.revision == 1 for n in fleet)
+    )
 
 
 def test_regions_that_lost_contact_rejoin_with_the_higher_revision(
@@ -125,7 +131,7 @@
     north, south = fleet[:2], fleet[2:]
     conftest.partition(north, south)
     dead = core.MemberState.DEAD
-    _nodes.wait_for(
+    _in_process_daemons.wait_for(
         lambda: all(
             _states(node)[other.daemon_id] is dead
             for side, others in ((north, south), (south, north))
@@ -139,9 +145,13 @@
     )
     store_standin.inject(store_pb2.FaultCall(down=True))
     conftest.heal(fleet)
-    _nodes.wait_for(lambda: all(len(n.gossip.table.alive) == 4 for n in fleet))
-    _nodes.wait_for(lambda: all(n.replica.revision == 1 for n in fleet))
-    _nodes.wait_for(lambda: all(n.gossip.facts for n in fleet))
+    _in_process_daemons.wait_for(
+        lambda: all(len(n.gossip.table.alive) == 4 for n in fleet)
+    )
+    _in_process_daemons.wait_for(
+        lambda: all(n.replica.revision == 1 for n in fleet)
+    )
+    _in_process_daemons.wait_for(lambda: all(n.gossip.facts for n in fleet))
 
 
 def test_a_leaving_daemon_is_announced_to_all_peers(nodes):
@@ -158,11 +168,11 @@
     first.gossip.subscribe_pause(received.append)
     first.gossip.table.suspect("node-1", now=time.monotonic())
     first.gossip._clock = lambda: time.monotonic() + 60.0
-    _nodes.wait_for(lambda: received)
+    _in_process_daemons.wait_for(lambda: received)
     assert 50.0 < received[0] < 70.0
     assert first.gossip.counts["pauses"] == 1
     assert _states(first)["node-1"] is not core.MemberState.DEAD
-    _nodes.wait_for(lambda: len(first.gossip.table.alive) == 2)
+    _in_process_daemons.wait_for(lambda: len(first.gossip.table.alive) == 2)
 
 
 def test_facts_replicate_without_the_store_and_the_newest_wins(
@@ -183,7 +193,7 @@
         address=address, state="draining", source="vm-list"
     )
     wanted = {("operator", "ready"), ("vm-list", "draining")}
-    _nodes.wait_for(
+    _in_process_daemons.wait_for(
         lambda: all(
             {(f.source, f.state) for f in n.gossip.facts} == wanted
             for n in fleet
@@ -216,7 +226,7 @@
         now_ms=first.gossip._exchanges.now_ms(),
     )
     first.gossip._facts.take_updates(max_sends=1)
-    _nodes.wait_for(lambda: second.gossip.facts)
+    _in_process_daemons.wait_for(lambda: second.gossip.facts)
 
 
 _VALID_MEMBER = core.Member(
--- a/wigeonrouter/membership/_replication_test.py
+++ b/wigeonrouter/membership/_replication_test.py
@@ -13,7 +13,7 @@
 from wigeonrouter import core
 from wigeonrouter import membership
 from wigeonrouter import store as store_api
-from wigeonrouter.bench import _nodes
+from wigeonrouter.bench import _in_process_daemons
 from wigeonrouter.membership import _dissemination
 from wigeonrouter.membership import _replication
 from wigeonrouter.membership import _table_test
@@ -72,7 +72,7 @@
     )
     task = gevent.spawn(replication._become_ready)
     if ready:
-        _nodes.wait_for(lambda: replication.ready)
+        _in_process_daemons.wait_for(lambda: replication.ready)
     else:
         gevent.sleep(3 * _replication.READINESS_RETRY_S)
         assert not replication.ready
--- a/wigeonrouter/membership/conftest.py
+++ b/wigeonrouter/membership/conftest.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wigeonrouter.bench import _nodes
+from wigeonrouter.bench import _in_process_daemons
 
 
 def partition(first, second):
@@ -22,6 +22,6 @@
 @pytest.fixture
 def nodes(store_standin):
     """Factory of nodes that share one store stand-in; stops them."""
-    nodes = _nodes.Nodes(store_standin.port)
+    nodes = _in_process_daemons.InProcessDaemons(store_standin.port)
     yield nodes
     nodes.stop()
