--- a/wigeonrouter/bench/_policy_clock.py
+++ b/wigeonrouter/bench/_policy_event_loop.py
@@ -1,11 +1,14 @@
-"""Fake clock: runs callbacks in the order of their due times."""
+"""Discrete-event loop with a simulated clock."""
 
 import heapq
 import itertools
 
 
 class EventLoop:
-    """Owns the fake time, in seconds from 0, and the due callbacks."""
+    """Runs callbacks in order of their due times.
+
+    The simulated time is in seconds and starts at 0.
+    """
 
     def __init__(self):
         self._now = 0.0
@@ -14,15 +17,23 @@
 
     @property
     def now(self):
-        """The fake time."""
+        """The simulated time in seconds."""
         return self._now
 
     def clock(self):
-        """Return the fake time; stands in for time.monotonic."""
+        """Return the simulated time; replaces time.monotonic."""
         return self._now
 
     def call_later(self, delay, function, *args):
-        """Run a function after a delay in seconds."""
+        """Schedule a callback; those due together run in call order.
+
+        Args:
+          delay: seconds from now.
+          function: callback.
+          args: arguments of the callback.
+        Returns:
+          True.
+        """
         heapq.heappush(
             self._due,
             (self._now + delay, next(self._order), function, args),
@@ -30,7 +41,7 @@
         return True
 
     def run(self, until):
-        """Run all callbacks that are due up to a time."""
+        """Run the callbacks due up to a time, then set the clock to it."""
         due = self._due
         while due and due[0][0] <= until:
             self._now, _, function, args = heapq.heappop(due)
--- a/wigeonrouter/bench/_policy_load.py
+++ b/wigeonrouter/bench/_policy_load.py
@@ -1,7 +1,7 @@
-"""Deployments and arrivals of the policy experiment.
+"""Deployments and workloads of the policy simulation.
 
-All random draws of a run are made here, before it starts, so that each
-policy meets the same requests.
+All requests of a run are drawn before it starts, so that every policy is
+measured on the same workload.
 """
 
 import dataclasses
@@ -9,21 +9,34 @@
 
 from wigeonrouter import core
 
-# Log-normal service times: most requests take about 8 ms, some 40 ms.
+# Service times are log-normal: the median is about 8 ms, some take 40 ms.
 MEAN_SERVICE_S = 0.010
 _SERVICE_SIGMA = 0.6
 REQUEST_BYTES = 2048
 RESPONSE_BYTES = 8192
 _TIMEOUTS_S = (0.1, 0.2, 0.4)
-_BURST_LENGTH_S = 0.05
-_CALM_LENGTH_S = 0.45
+# Each region alternates between bursts and base periods, whose lengths are
+# exponentially distributed. Bursts take a tenth of the time.
+_MEAN_BURST_S = 0.05
+_MEAN_BASE_PERIOD_S = 0.45
 REGIONS = ("north", "middle", "south")
 DAEMON_COUNT = 18
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Deployment:
-    """Sizes and round-trip times, in seconds."""
+    """Services and network of one deployment.
+
+    Attributes:
+      name: its name in the command line and in results.
+      services: (name, number of backend servers, idempotent) of each.
+      failure_domain_rtt: round-trip time between failure domains of one
+        region, in seconds.
+      region_rtt: round-trip time between regions, in seconds.
+      caller_rtt: round-trip time between a caller and its daemon, in
+        seconds.
+      price_region_ms: the routing setting of that name.
+    """
 
     name: str
     services: tuple[tuple[str, int, bool], ...]
@@ -33,7 +46,7 @@
     price_region_ms: float = 40.0
 
     def rtt(self, first, second):
-        """Return the round-trip time between two places."""
+        """Return the round-trip time between two places in seconds."""
         if first.region != second.region:
             return self.region_rtt
         if first.failure_domain != second.failure_domain:
@@ -64,19 +77,30 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Arrival:
-    """One request as its caller sends it; times in seconds."""
+    """One request as its caller sends it; times are in seconds.
+
+    Attributes:
+      number: position in the order of arrival.
+      time: when the caller sends the request.
+      place: core.Place of the caller.
+      tenant: name of the tenant.
+      service_time: time that it takes on a slot without slowdown.
+      timeout: time that the caller allows.
+      uses_outdated_entry: whether the caller goes to a random daemon of its
+        region because its entry response is outdated.
+    """
 
     number: int
     time: float
     place: core.Place
     tenant: str
-    work: float
+    service_time: float
     timeout: float
-    stray: bool
+    uses_outdated_entry: bool
 
 
 def places():
-    """Return the six failure domains, regions taking turns."""
+    """Return one place per failure domain, alternating between regions."""
     return tuple(
         core.Place(region=region, failure_domain=f"{region}-{letter}")
         for letter in "ab"
@@ -85,27 +109,27 @@
 
 
 def make_servers(count):
-    """Spread backend servers of 2 slots over the failure domains."""
-    spread = places()
+    """Return backend servers of 2 slots, spread over failure domains."""
+    all_places = places()
     return tuple(
         core.BackendServer(
             name=f"s{number:02d}",
             address=core.Address(host="127.0.0.1", port=20000 + number),
-            place=spread[number % len(spread)],
+            place=all_places[number % len(all_places)],
         )
         for number in range(count)
     )
 
 
 def make_members(count=DAEMON_COUNT):
-    """Spread daemons over the failure domains."""
-    spread = places()
+    """Return alive members, spread over the failure domains."""
+    all_places = places()
     return tuple(
         core.Member(
             daemon_id=f"d{number:02d}",
             incarnation=1,
             state=core.MemberState.ALIVE,
-            place=spread[number % len(spread)],
+            place=all_places[number % len(all_places)],
             caller_address=core.Address(host="127.0.0.1", port=number + 1),
             admin_address=core.Address(host="127.0.0.1", port=number + 1),
             peer_address=core.Address(host="127.0.0.1", port=number + 1),
@@ -116,39 +140,44 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LoadShape:
-    """What arrives.
+    """Parameters of the arrival process; times are in seconds.
 
     Attributes:
-      load: offered work as a share of the slots' capacity.
-      duration: seconds of arrivals.
-      burst: factor of the rate in bursts of 50 ms on average, which take a
-        tenth of the time; the mean stays at load.
-      region_weights: relative load of the regions.
-      tenants: (name, share of the requests) of the tenants.
-      noisy: (name, load, start, end) of a further tenant, or None.
-      steps: (start, end, load) that replaces load for some time, or None.
-      stray_ratio: callers that use an outdated entry response.
+      load: load factor, offered service time relative to slot capacity.
+      duration: length of the arrival process.
+      burst_factor: arrival rate during bursts relative to the mean rate.
+        Bursts last 50 ms on average and take a tenth of the time; the mean
+        load factor stays at load.
+      region_weights: factor of each region's load.
+      tenants: (name, share of the requests) of each tenant.
+      noisy_tenant: (name, load factor, start, end) of a further tenant, or
+        None.
+      load_step: (start, end, load factor) that replaces load in that
+        interval, or None.
+      outdated_entry_ratio: share of requests whose caller uses an outdated
+        entry response.
     """
 
     load: float
     duration: float = 5.0
-    burst: float = 2.0
+    burst_factor: float = 2.0
     region_weights: tuple[float, ...] = (1.0, 1.0, 1.0)
     tenants: tuple[tuple[str, float], ...] = (("a", 0.6), ("b", 0.4))
-    noisy: tuple[str, float, float, float] | None = None
-    steps: tuple[float, float, float] | None = None
-    stray_ratio: float = 0.02
+    noisy_tenant: tuple[str, float, float, float] | None = None
+    load_step: tuple[float, float, float] | None = None
+    outdated_entry_ratio: float = 0.02
 
 
 def make_arrivals(*, servers, shape, seed):
-    """Draw the requests of a run.
+    """Draw the requests of one run.
 
-    The load of a region is proportional to its slots times its weight.
+    The arrival rate of a region is proportional to its number of slots and
+    to its weight.
 
     Args:
       servers: tuple of core.BackendServer.
       shape: LoadShape.
-      seed: a whole number; equal seeds give equal arrivals.
+      seed: integer; equal seeds give equal requests.
     Returns:
       A list of Arrival, ordered by time.
     """
@@ -158,49 +187,51 @@
         capacity = slots / MEAN_SERVICE_S
         rng = random.Random(f"{seed}/{region}")
         weight = shape.region_weights[index]
-        rows += _region_rows(rng, region, capacity * weight, shape)
-        if shape.noisy is not None:
-            name, load, start, end = shape.noisy
+        rows += _draw_region_requests(rng, region, capacity * weight, shape)
+        if shape.noisy_tenant is not None:
+            name, load, start, end = shape.noisy_tenant
             rng = random.Random(f"{seed}/{region}/{name}")
-            for time in _poisson(rng, load * capacity, start, end):
-                rows.append(_draw(rng, time, region, name, shape))
+            for time in _poisson_times(rng, load * capacity, start, end):
+                rows.append(_draw_request(rng, time, region, name, shape))
     rows.sort(key=lambda row: row["time"])
     return [Arrival(number=n, **row) for n, row in enumerate(rows)]
 
 
-def _region_rows(rng, region, capacity, shape):
+def _draw_region_requests(rng, region, capacity, shape):
     names = [name for name, _ in shape.tenants]
     shares = [share for _, share in shape.tenants]
-    calm = (1 - 0.1 * shape.burst) / 0.9
+    base_factor = (1 - 0.1 * shape.burst_factor) / 0.9
     time, bursting, rows = 0.0, False, []
     while time < shape.duration:
         length = rng.expovariate(
-            1 / (_BURST_LENGTH_S if bursting else _CALM_LENGTH_S)
+            1 / (_MEAN_BURST_S if bursting else _MEAN_BASE_PERIOD_S)
         )
         end = min(shape.duration, time + length)
-        factor = shape.burst if bursting else calm
-        for moment, load in _spans(time, end, shape):
+        factor = shape.burst_factor if bursting else base_factor
+        for moment, load in _split_by_load(time, end, shape):
             start, stop = moment
             rate = load * capacity * factor
-            for arrival in _poisson(rng, rate, start, stop):
+            for arrival in _poisson_times(rng, rate, start, stop):
                 tenant = rng.choices(names, shares)[0]
-                rows.append(_draw(rng, arrival, region, tenant, shape))
+                rows.append(_draw_request(rng, arrival, region, tenant, shape))
         time, bursting = end, not bursting
     return rows
 
 
-def _spans(start, end, shape):
-    if shape.steps is None:
+def _split_by_load(start, end, shape):
+    if shape.load_step is None:
         return [((start, end), shape.load)]
-    first, last, load = shape.steps
-    cuts = sorted({start, end, *(c for c in (first, last) if start < c < end)})
+    first, last, load = shape.load_step
+    boundaries = sorted(
+        {start, end, *(c for c in (first, last) if start < c < end)}
+    )
     return [
         ((low, high), load if first <= low < last else shape.load)
-        for low, high in zip(cuts, cuts[1:], strict=False)
+        for low, high in zip(boundaries, boundaries[1:], strict=False)
     ]
 
 
-def _poisson(rng, rate, start, end):
+def _poisson_times(rng, rate, start, end):
     time = start
     while rate > 0:
         time += rng.expovariate(rate)
@@ -209,7 +240,7 @@
         yield time
 
 
-def _draw(rng, time, region, tenant, shape):
+def _draw_request(rng, time, region, tenant, shape):
     mu = -(_SERVICE_SIGMA**2) / 2
     return {
         "time": time,
@@ -217,7 +248,8 @@
             region=region, failure_domain=f"{region}-{rng.choice('ab')}"
         ),
         "tenant": tenant,
-        "work": MEAN_SERVICE_S * rng.lognormvariate(mu, _SERVICE_SIGMA),
+        "service_time": MEAN_SERVICE_S
+        * rng.lognormvariate(mu, _SERVICE_SIGMA),
         "timeout": rng.choice(_TIMEOUTS_S),
-        "stray": rng.random() < shape.stray_ratio,
+        "uses_outdated_entry": rng.random() < shape.outdated_entry_ratio,
     }
--- a/wigeonrouter/bench/_policy_main.py
+++ b/wigeonrouter/bench/_policy_main.py
@@ -1,4 +1,8 @@
-"""The subcommand policy: compares selection policies over a fake clock."""
+"""Commands that compare selection policies in a discrete-event simulation.
+
+A cell of the experiment is one combination of deployment, service, policy
+and load shape. It is run once for each seed.
+"""
 
 import dataclasses
 import json
@@ -6,7 +10,7 @@
 import click
 
 from wigeonrouter import selection
-from wigeonrouter.bench import _policy_bound
+from wigeonrouter.bench import _policy_central_queue
 from wigeonrouter.bench import _policy_load
 from wigeonrouter.bench import _policy_plot
 from wigeonrouter.bench import _policy_report
@@ -22,12 +26,14 @@
 ):
     """Run one cell of the experiment.
 
+    All policies get the same requests for the same seed.
+
     Args:
       deployment: _policy_load.Deployment.
       service: name of one of its services.
-      policy: name of a policy, or "central" for the bound.
+      policy: name of a policy, or "central" for the upper bound.
       shape: _policy_load.LoadShape.
-      seeds: whole numbers.
+      seeds: integers.
       run_settings: further fields of _policy_run.RunSettings.
     Returns:
       A list of _policy_run.RunResult, one for each seed.
@@ -44,7 +50,7 @@
             servers=servers, shape=shape, seed=seed
         )
         if policy == "central":
-            result = _policy_bound.run_central_queue(
+            result = _policy_central_queue.run_central_queue(
                 deployment=deployment, servers=servers, arrivals=arrivals
             )
         else:
@@ -55,7 +61,7 @@
                 policy=policy,
                 **run_settings,
             )
-            result = _policy_run.Run(
+            result = _policy_run.Simulation(
                 settings=settings,
                 servers=servers,
                 arrivals=arrivals,
@@ -74,7 +80,7 @@
 @click.option("--steering", default="region", show_default=True)
 @click.option("--seconds", default=5.0, show_default=True)
 @click.option("--burst", default=2.0, show_default=True)
-@click.option("--price", type=float, help="price_region_ms")
+@click.option("--price", type=float, help="routing setting price_region_ms")
 @click.option("--output", type=click.Path(), help="JSON file for policy-plot")
 def policy_command(
     deployment,
@@ -88,11 +94,11 @@
     price,
     output,
 ):
-    """Compare selection policies over a fake clock."""
+    """Compare selection policies in a discrete-event simulation."""
     rows, cells = [], []
     for load in loads or _LOADS:
         shape = _policy_load.LoadShape(
-            load=load, duration=seconds, burst=burst
+            load=load, duration=seconds, burst_factor=burst
         )
         for policy in policies or ("central", *selection.policy_names()):
             results = run_cell(
@@ -119,9 +125,11 @@
 @click.option("--deployment", default="carril-azul", show_default=True)
 @click.option("--service", default="availability", show_default=True)
 @click.option("--policy", "policies", multiple=True, default=("free_slot",))
-@click.option("--only", default="", help="part of the scenarios' names")
+@click.option(
+    "--only", default="", help="text that the scenario names contain"
+)
 def scenarios_command(deployment, service, policies, only):
-    """Run the scenarios of tenants, overload, faults and regions."""
+    """Simulate noisy tenants, overload, faults and uneven regional load."""
     rows = []
     for name, scenario in _policy_scenarios.SCENARIOS.items():
         if only not in name:
@@ -151,7 +159,7 @@
 @click.option("--label", default="p99, ms", show_default=True)
 @click.option("--image", required=True, type=click.Path())
 def plot_command(data, field, label, image):
-    """Plot a figure over the load from JSON files of the command policy."""
+    """Plot a figure against the load, from JSON files written by policy."""
     cells = []
     for path in data:
         with open(path, encoding="utf-8") as file:
--- a/wigeonrouter/bench/_policy_plot.py
+++ b/wigeonrouter/bench/_policy_plot.py
@@ -1,17 +1,18 @@
-"""Plots of the policy experiment."""
+"""Plots of the results of the policy simulation."""
 
 
 def plot_cells(*, cells, field, label, path):
     """Write a plot with one line for each policy.
 
     Args:
-      cells: dicts with load, policy and the fields of Figures.
-      field: name of the field to plot.
+      cells: dicts with load, policy and the fields of
+        _policy_report.Figures.
+      field: name of the field of Figures to plot.
       label: label of the vertical axis.
       path: image file to write.
     """
-    # matplotlib is needed for plots alone and is not in requirements of a
-    # daemon's VM.
+    # Imported here because only plots need matplotlib, and the VMs of
+    # daemons do not have it installed.
     import matplotlib
 
     matplotlib.use("Agg")
@@ -24,12 +25,12 @@
             for cell in cells
             if cell["policy"] == policy
         )
-        bold = policy in ("central", "free_slot")
+        is_highlighted = policy in ("central", "free_slot")
         axes.plot(
             [x for x, _ in points],
             [y for _, y in points],
             marker="o",
-            linewidth=2.5 if bold else 1,
+            linewidth=2.5 if is_highlighted else 1,
             label=policy,
         )
     axes.set_xlabel("load, % of capacity")
--- a/wigeonrouter/bench/_policy_report.py
+++ b/wigeonrouter/bench/_policy_report.py
@@ -1,25 +1,29 @@
-"""Figures of policy runs."""
+"""Summary figures of simulated policy runs."""
 
 import dataclasses
 
 import numpy
 
+# Arrivals before this time are left out of the figures.
 WARM_UP_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Figures:
-    """Figures of one cell, over all its seeds. Latencies are in ms.
+    """Figures of one cell over all of its seeds.
 
     Attributes:
-      finished: requests finished in time, per second.
+      finished: requests that finished within their timeout, per second.
       in_time: the same as a share of all requests.
-      refused: share refused at once or while waiting.
-      late: share that was sent to a server and not answered in time.
-      failed: share that a server answered with a failure.
-      retries: further attempts per request.
-      region_megabytes: megabytes per second between regions.
-      fairness: Jain's index of the tenants' in-time shares.
+      p50: median latency of those requests, in ms.
+      p99: 99th percentile of their latency, in ms.
+      p999: 99.9th percentile of their latency, in ms.
+      refused: share rejected at once or while queued.
+      late: share sent to a backend server without a response in time.
+      failed: share that ended with a failure response.
+      retries: retries per request.
+      region_megabytes: traffic between regions, in MB/s.
+      fairness: Jain's index over the in-time shares of the tenants.
     """
 
     finished: float
@@ -36,29 +40,29 @@
 
 
 def summarise(results, *, start=WARM_UP_S, end=None, tenant=None, region=None):
-    """Sum up the runs of one cell.
+    """Return the Figures of the runs of one cell.
 
-    Latency percentiles are over the requests that finished in time; read
-    them beside in_time.
+    Latency percentiles cover only requests that finished in time, so they
+    are meaningful only together with in_time.
 
     Args:
-      results: RunResult of each seed.
-      start: arrivals before it do not count, seconds.
-      end: arrivals from it on do not count, seconds; all where None.
-      tenant: counts this tenant alone, where given.
-      region: counts callers of this region alone, where given.
-    Returns:
-      Figures.
+      results: _policy_run.RunResult of each seed.
+      start: leaves out arrivals before this time, in seconds.
+      end: leaves out arrivals from this time on, in seconds, unless None.
+      tenant: counts only this tenant, unless None.
+      region: counts only callers of this region, unless None.
     """
     latencies, seconds, total = [], 0.0, 0
-    counts, tenants, retries, volume = {}, {}, 0, 0
+    counts, tenants, retries, region_bytes = {}, {}, 0, 0
     for result in results:
-        last = max((d.arrival.time for d in result.done), default=0.0)
+        last = max(
+            (r.arrival.time for r in result.request_results), default=0.0
+        )
         seconds += (last if end is None else end) - start
         retries += result.retries
-        volume += result.region_bytes
-        for done in result.done:
-            arrival = done.arrival
+        region_bytes += result.region_bytes
+        for request_result in result.request_results:
+            arrival = request_result.arrival
             if arrival.time < start or (end and arrival.time >= end):
                 continue
             if tenant is not None and arrival.tenant != tenant:
@@ -66,25 +70,27 @@
             if region is not None and arrival.place.region != region:
                 continue
             total += 1
-            counts[done.outcome] = counts.get(done.outcome, 0) + 1
-            pair = tenants.setdefault(arrival.tenant, [0, 0])
-            pair[1] += 1
-            if done.outcome == "ok":
-                pair[0] += 1
-                latencies.append(done.latency * 1000)
+            counts[request_result.outcome] = (
+                counts.get(request_result.outcome, 0) + 1
+            )
+            tenant_counts = tenants.setdefault(arrival.tenant, [0, 0])
+            tenant_counts[1] += 1
+            if request_result.outcome == "ok":
+                tenant_counts[0] += 1
+                latencies.append(request_result.latency * 1000)
     values = numpy.percentile(latencies or [0.0], (50, 99, 99.9))
-    whole = max(total, 1)
+    divisor = max(total, 1)
     return Figures(
         finished=counts.get("ok", 0) / seconds,
-        in_time=counts.get("ok", 0) / whole,
+        in_time=counts.get("ok", 0) / divisor,
         p50=float(values[0]),
         p99=float(values[1]),
         p999=float(values[2]),
-        refused=counts.get("refused", 0) / whole,
-        late=(counts.get("late", 0) + counts.get("unknown", 0)) / whole,
-        failed=counts.get("failed", 0) / whole,
-        retries=retries / whole,
-        region_megabytes=volume / 1e6 / seconds,
+        refused=counts.get("refused", 0) / divisor,
+        late=(counts.get("late", 0) + counts.get("unknown", 0)) / divisor,
+        failed=counts.get("failed", 0) / divisor,
+        retries=retries / divisor,
+        region_megabytes=region_bytes / 1e6 / seconds,
         fairness=_jain([ok / sent for ok, sent in tenants.values()]),
     )
 
@@ -97,7 +103,7 @@
 
 
 def markdown_table(rows):
-    """Return a table of rows of (label, Figures)."""
+    """Return a Markdown table of rows of (label, Figures)."""
     lines = [
         "| | finished/s | in time | p50 | p99 | p99.9 | refused | late "
         "| failed | retries | MB/s between regions | fairness |",
--- a/wigeonrouter/bench/_policy_run.py
+++ b/wigeonrouter/bench/_policy_run.py
@@ -1,7 +1,8 @@
-"""One run of the policy experiment: callers, daemons and fake servers.
+"""One run of the policy simulation: callers, daemons and backend servers.
 
-The daemons use the real Dispatcher, RetryBudget and home assignment over a
-fake clock. Only what lies beyond the interfaces is fake.
+The daemons use the production Dispatcher, RetryBudget and home assignment on
+a simulated clock. Callers, network, request I/O and backend servers are
+simulated.
 """
 
 import dataclasses
@@ -13,22 +14,28 @@
 from wigeonrouter import health
 from wigeonrouter import limits
 from wigeonrouter import request_path
-from wigeonrouter.bench import _policy_clock
+from wigeonrouter.bench import _policy_event_loop
 from wigeonrouter.bench import _policy_load
 from wigeonrouter.bench import _policy_server
 
-# The prober advances the states of servers about this often.
+# About the interval at which the prober of a daemon updates server states.
 _ADVANCE_INTERVAL_S = 0.1
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RunSettings:
-    """One cell of the experiment.
+    """Parameters of one cell of the experiment.
 
     Attributes:
-      steering: "region" or "failure-domain" (home daemons), or "any".
-      faults: tuple of (time, function(servers by name)).
-      overrides: changes of core.RoutingSettings, as a dict.
+      deployment: _policy_load.Deployment.
+      server_count: number of backend servers.
+      idempotent: whether requests may be retried after an unknown outcome.
+      policy: name of the selection policy.
+      steering: how callers choose a daemon: "region" or "failure-domain"
+        for home daemons of that scope, "any" for any daemon of the region.
+      faults: tuple of (time in seconds, function(simulated servers by
+        name)).
+      overrides: dict of changes to core.RoutingSettings.
     """
 
     deployment: _policy_load.Deployment
@@ -41,8 +48,15 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Done:
-    """How one request ended for its caller; times in seconds."""
+class RequestResult:
+    """How one request ended for its caller.
+
+    Attributes:
+      arrival: _policy_load.Arrival.
+      latency: seconds from the caller's request to its response.
+      outcome: "ok", "refused", "late" or another value of core.Outcome.
+      attempts: number of attempts.
+    """
 
     arrival: _policy_load.Arrival
     latency: float
@@ -52,24 +66,31 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RunResult:
-    """All that a run gave."""
+    """Results of one run.
+
+    Attributes:
+      request_results: one RequestResult for each request.
+      retries: number of retries.
+      region_bytes: bytes sent between regions.
+      remote_times: simulated time of each attempt in another region.
+    """
 
-    done: tuple[Done, ...]
+    request_results: tuple[RequestResult, ...]
     retries: int
     region_bytes: int
     remote_times: tuple[float, ...]
 
 
-class Run:
-    """Owns the fake world of one run."""
+class Simulation:
+    """Simulates callers, daemons, network and backend servers of one run."""
 
     def __init__(self, *, settings, servers, arrivals, seed):
         self._settings = settings
         self._arrivals = arrivals
-        self._loop = _policy_clock.EventLoop()
+        self._loop = _policy_event_loop.EventLoop()
         self._rng = random.Random(f"run/{seed}")
         self._servers = {
-            s.name: _policy_server.FakeServer(
+            s.name: _policy_server.SimulatedServer(
                 loop=self._loop, server=s, rng=random.Random(s.name)
             )
             for s in servers
@@ -95,13 +116,13 @@
         )
         self._members = _policy_load.make_members()
         self._daemons = {}
-        self._done = []
+        self._request_results = []
         self._retries = 0
         self._region_bytes = 0
         self._remote_times = []
 
     def run(self):
-        """Run to the end of the last request; return a RunResult."""
+        """Simulate until all requests have ended; return a RunResult."""
         for time, function in self._settings.faults:
             self._loop.call_later(time, function, self._servers)
         for arrival in self._arrivals:
@@ -109,7 +130,7 @@
         last = self._arrivals[-1].time if self._arrivals else 0.0
         self._loop.run(last + 2.0)
         return RunResult(
-            done=tuple(self._done),
+            request_results=tuple(self._request_results),
             retries=self._retries,
             region_bytes=self._region_bytes,
             remote_times=tuple(self._remote_times),
@@ -123,7 +144,7 @@
 
     def _pick_member(self, arrival):
         place = arrival.place
-        if arrival.stray or self._settings.steering == "any":
+        if arrival.uses_outdated_entry or self._settings.steering == "any":
             local = [
                 m for m in self._members if m.place.region == place.region
             ]
@@ -141,24 +162,24 @@
                 for m in self._members
                 if m.place.region == member.place.region
             ]
-            daemon = _Daemon(
-                run=self,
+            daemon = _SimulatedDaemon(
+                simulation=self,
                 member=member,
                 service=self._service,
                 loop=self._loop,
-                share=(local.index(member.daemon_id), len(local)),
+                slot_share=(local.index(member.daemon_id), len(local)),
             )
             self._daemons[member.daemon_id] = daemon
         return daemon
 
     def finish(self, arrival, outcome, attempts):
-        """Note the answer that a daemon sends to a caller."""
-        answered = self._loop.now + self._settings.deployment.caller_rtt / 2
-        latency = answered - arrival.time
+        """Record the response that a daemon sends to a caller."""
+        received = self._loop.now + self._settings.deployment.caller_rtt / 2
+        latency = received - arrival.time
         if outcome == "ok" and latency > arrival.timeout:
             outcome = "late"
-        self._done.append(
-            Done(
+        self._request_results.append(
+            RequestResult(
                 arrival=arrival,
                 latency=latency,
                 outcome=outcome,
@@ -166,32 +187,43 @@
             )
         )
 
-    def send(self, place, server, call, answered):
-        """Carry a call to a server and its answer back to the daemon."""
-        half = self._settings.deployment.rtt(place, server.place) / 2
-        fake = self._servers[server.name]
+    def send(self, place, server, attempt, on_response):
+        """Deliver an attempt to a server and its response to the daemon.
+
+        Args:
+          place: core.Place of the daemon.
+          server: core.BackendServer.
+          attempt: _policy_server.Attempt.
+          on_response: called as Attempt.on_response, after the network delay.
+        Returns:
+          A function that cancels the attempt.
+        """
+        one_way_delay = self._settings.deployment.rtt(place, server.place) / 2
+        simulated_server = self._servers[server.name]
         remote = place.region != server.place.region
         if remote:
             self._region_bytes += _policy_load.REQUEST_BYTES
             self._remote_times.append(self._loop.now)
 
-        def answer(outcome, report):
+        def respond(outcome, report):
             if remote:
                 self._region_bytes += _policy_load.RESPONSE_BYTES
-            self._loop.call_later(half, answered, outcome, report)
+            self._loop.call_later(one_way_delay, on_response, outcome, report)
 
-        call.answered = answer
-        self._loop.call_later(half, fake.arrive, call)
-        return lambda: self._loop.call_later(half, fake.cancel, call)
+        attempt.on_response = respond
+        self._loop.call_later(one_way_delay, simulated_server.arrive, attempt)
+        return lambda: self._loop.call_later(
+            one_way_delay, simulated_server.cancel, attempt
+        )
 
     def probe(self, name):
-        """Return the health.ProbeResult of a server; probes take no time."""
+        """Return the health.ProbeResult of a server, without network delay."""
         server = self._servers[name]
-        bad = server.failing or server.refusing
-        return health.ProbeResult(reached=True, healthy=not bad)
+        unhealthy = server.failing or server.rejecting
+        return health.ProbeResult(reached=True, healthy=not unhealthy)
 
     def count_retry(self):
-        """Note a further attempt."""
+        """Count a retry."""
         self._retries += 1
 
     @property
@@ -200,11 +232,11 @@
         return self._kind
 
 
-class _Daemon:
-    """The daemon's decisions, with callbacks in place of blocking I/O."""
+class _SimulatedDaemon:
+    """Makes a daemon's decisions; callbacks replace its blocking I/O."""
 
-    def __init__(self, *, run, member, service, loop, share):
-        self.run, self.loop, self.service = run, loop, service
+    def __init__(self, *, simulation, member, service, loop, slot_share):
+        self.simulation, self.loop, self.service = simulation, loop, service
         self.place = member.place
         self.dispatcher = dispatch.Dispatcher(
             service=service,
@@ -212,7 +244,7 @@
             rng=random.Random(member.daemon_id),
             clock=loop.clock,
             call_later=loop.call_later,
-            slot_share=share,
+            slot_share=slot_share,
         )
         self.budget = limits.RetryBudget(ratio=service.retries.budget_ratio)
         self._advance()
@@ -223,17 +255,17 @@
             if health.needs_probe(view):
                 self.dispatcher.on_probe(
                     name=view.server.name,
-                    probe=self.run.probe(view.server.name),
+                    probe=self.simulation.probe(view.server.name),
                 )
         self.loop.call_later(_ADVANCE_INTERVAL_S, self._advance)
 
     def arrive(self, arrival):
         self.budget.on_request()
-        _Forward(daemon=self, arrival=arrival).attempt()
+        _Forwarder(daemon=self, arrival=arrival).attempt()
 
 
-class _Forward:
-    """One request in one daemon; follows request_path's Forwarder."""
+class _Forwarder:
+    """Forwards one request by the rules of request_path's Forwarder."""
 
     def __init__(self, *, daemon, arrival):
         self._daemon = daemon
@@ -242,88 +274,90 @@
         self._deadline = daemon.loop.now + arrival.timeout
         self._attempts = 0
         self._excluded = frozenset()
-        self._ticket = None
+        self._waiting_request = None
         self._ended = False
 
     def attempt(self):
         self._attempts += 1
         request = core.DispatchRequest(
-            kind=self._daemon.run.kind,
+            kind=self._daemon.simulation.kind,
             tenant=self._arrival.tenant,
             deadline=self._deadline,
             body_bytes=_policy_load.REQUEST_BYTES,
             attempt=self._attempts,
             excluded=self._excluded,
         )
-        result = self._daemon.dispatcher.submit(request, self._delivered)
+        result = self._daemon.dispatcher.submit(request, self._on_dispatched)
         if isinstance(result, dispatch.WaitingRequest):
-            self._ticket = result
+            self._waiting_request = result
             self._loop.call_later(
-                self._deadline - self._loop.now, self._expire, result
+                self._deadline - self._loop.now, self._on_queue_timeout, result
             )
         else:
-            self._delivered(result)
+            self._on_dispatched(result)
 
-    def _expire(self, ticket):
-        if self._ticket is ticket:
-            self._ticket = None
-            self._daemon.dispatcher.cancel_waiting(ticket)
-            self._end("refused")
+    def _on_queue_timeout(self, waiting_request):
+        if self._waiting_request is waiting_request:
+            self._waiting_request = None
+            self._daemon.dispatcher.cancel_waiting(waiting_request)
+            self._finish("refused")
 
-    def _delivered(self, result):
-        self._ticket = None
+    def _on_dispatched(self, result):
+        self._waiting_request = None
         if isinstance(result, core.Problem):
-            self._end("refused")
+            self._finish("refused")
             return
-        state = {"open": True}
-        call = _policy_server.Call(
-            work=self._arrival.work, deadline=self._deadline, answered=None
+        state = {"pending": True}
+        attempt = _policy_server.Attempt(
+            service_time=self._arrival.service_time,
+            deadline=self._deadline,
+            on_response=None,
         )
 
-        def answered(outcome, report):
-            if state["open"]:
-                state["open"] = False
-                self._answered(result, outcome, report)
+        def on_response(outcome, report):
+            if state["pending"]:
+                state["pending"] = False
+                self._on_response(result, outcome, report)
 
-        cancel = self._daemon.run.send(
-            self._daemon.place, result.server, call, answered
+        cancel = self._daemon.simulation.send(
+            self._daemon.place, result.server, attempt, on_response
         )
 
-        def expire():
-            if state["open"]:
-                state["open"] = False
+        def on_timeout():
+            if state["pending"]:
+                state["pending"] = False
                 cancel()
                 self._release(result, core.Outcome.UNKNOWN, None)
-                self._end("late")
+                self._finish("late")
 
-        self._loop.call_later(self._deadline - self._loop.now, expire)
+        self._loop.call_later(self._deadline - self._loop.now, on_timeout)
 
-    def _answered(self, grant, outcome, reported):
-        self._release(grant, outcome, reported)
+    def _on_response(self, grant, outcome, reported_in_flight):
+        self._release(grant, outcome, reported_in_flight)
         if outcome is not core.Outcome.NOT_RUN:
-            self._end(outcome.value)
+            self._finish(outcome.value)
             return
-        again = request_path.may_retry(
-            kind=self._daemon.run.kind,
+        may_retry = request_path.may_retry(
+            kind=self._daemon.simulation.kind,
             failure=core.Problem(problem=core.problems.REFUSED_BY_SERVER),
             attempt=self._attempts,
             max_attempts=self._daemon.service.retries.max_attempts,
             now=self._loop.now,
             deadline=self._deadline,
         )
-        if not again or not self._daemon.budget.try_spend():
-            self._end("refused")
+        if not may_retry or not self._daemon.budget.try_spend():
+            self._finish("refused")
             return
-        self._daemon.run.count_retry()
+        self._daemon.simulation.count_retry()
         self._excluded |= {grant.server.name}
         self.attempt()
 
-    def _release(self, grant, outcome, reported):
+    def _release(self, grant, outcome, reported_in_flight):
         dispatcher, now = self._daemon.dispatcher, self._loop.now
         report = None
-        if reported is not None:
+        if reported_in_flight is not None:
             report = core.LoadReport(
-                in_flight=reported,
+                in_flight=reported_in_flight,
                 slots=grant.server.slots,
                 draining=False,
                 received=now,
@@ -339,5 +373,5 @@
             ),
         )
 
-    def _end(self, outcome):
-        self._daemon.run.finish(self._arrival, outcome, self._attempts)
+    def _finish(self, outcome):
+        self._daemon.simulation.finish(self._arrival, outcome, self._attempts)
--- a/wigeonrouter/bench/_policy_run_test.py
+++ b/wigeonrouter/bench/_policy_run_test.py
@@ -1,9 +1,9 @@
-"""Guards the policy experiment: fair comparison, no request lost."""
+"""Guards against policy simulations that lose requests or differ in load."""
 
 import pytest
 
 from wigeonrouter import selection
-from wigeonrouter.bench import _policy_clock
+from wigeonrouter.bench import _policy_event_loop
 from wigeonrouter.bench import _policy_load
 from wigeonrouter.bench import _policy_main
 from wigeonrouter.bench import _policy_report
@@ -23,37 +23,42 @@
 
 
 @pytest.mark.parametrize("policy", ["central", *selection.policy_names()])
-def test_each_policy_ends_each_request_once_and_repeatably(policy):
-    """Else policies would be compared over different requests."""
+def test_each_policy_gives_each_request_one_reproducible_result(policy):
+    """Otherwise policies would be compared on different requests."""
     first, again = _run(policy), _run(policy)
     assert first == again
     servers = _policy_load.make_servers(20)
     arrivals = _policy_load.make_arrivals(
         servers=servers, shape=_SHAPE, seed=1
     )
-    numbers = sorted(done.arrival.number for done in first[0].done)
+    numbers = sorted(
+        result.arrival.number for result in first[0].request_results
+    )
     assert numbers == [arrival.number for arrival in arrivals]
 
 
 @pytest.mark.parametrize("steering", ["region", "failure-domain", "any"])
-def test_free_slot_finishes_nearly_what_it_sends(steering):
-    """Guards against congestion collapse, whichever daemons serve."""
+def test_free_slot_completes_most_dispatched_requests_under_overload(steering):
+    """Guards against congestion collapse with each way to choose a daemon.
+
+    It occurs when servers spend slot time on requests that time out.
+    """
     result = _run("free_slot", "chaiyaphruek", "listing", steering=steering)
     figures = _policy_report.summarise(result, start=0.0)
     assert figures.in_time > 0.5
     assert figures.late < 0.1
 
 
-def test_the_load_is_what_was_asked_for():
+def test_drawn_service_time_matches_the_load_factor():
     servers = _policy_load.make_servers(12)
     shape = _policy_load.LoadShape(load=0.85, duration=20.0)
     arrivals = _policy_load.make_arrivals(servers=servers, shape=shape, seed=1)
-    work = sum(arrival.work for arrival in arrivals)
-    assert work / (20.0 * 24) == pytest.approx(0.85, rel=0.1)
+    total_service_time = sum(arrival.service_time for arrival in arrivals)
+    assert total_service_time / (20.0 * 24) == pytest.approx(0.85, rel=0.1)
 
 
-def test_callbacks_run_in_order_of_time_and_call():
-    loop, seen = _policy_clock.EventLoop(), []
+def test_callbacks_run_by_due_time_then_in_call_order():
+    loop, seen = _policy_event_loop.EventLoop(), []
     loop.call_later(0.2, seen.append, "c")
     loop.call_later(0.1, seen.append, "a")
     loop.call_later(0.1, seen.append, "b")
--- a/wigeonrouter/bench/_policy_server.py
+++ b/wigeonrouter/bench/_policy_server.py
@@ -1,113 +1,124 @@
-"""Fake backend server of the policy experiment."""
+"""Simulated backend server of the policy simulation."""
 
 import collections
 
 from wigeonrouter import core
 
-# A server that has this many requests waiting sheds further ones.
-SHED_LENGTH = 16
+# Requests that the server queues before it rejects further ones.
+MAX_QUEUE_LENGTH = 16
 _FAILURE_TIME_S = 0.0005
 
 
-class Call:
-    """One attempt on its way through a server.
+class Attempt:
+    """One attempt to execute a request on a server.
 
     Attributes:
-      work: seconds that it takes on a healthy slot.
-      answered: called with (outcome, report values or None).
+      service_time: seconds that it takes on a slot without slowdown.
+      deadline: simulated time at which the daemon gives up.
+      on_response: called with the core.Outcome and the reported number of
+        requests in flight, or None without a load report.
+      slot: index of the slot that it occupies, or None.
+      ended: whether it has finished, failed or been cancelled.
     """
 
-    __slots__ = ("work", "deadline", "answered", "slot", "ended")
+    __slots__ = (
+        "service_time",
+        "deadline",
+        "on_response",
+        "slot",
+        "ended",
+    )
 
-    def __init__(self, *, work, deadline, answered):
-        self.work = work
+    def __init__(self, *, service_time, deadline, on_response):
+        self.service_time = service_time
         self.deadline = deadline
-        self.answered = answered
+        self.on_response = on_response
         self.slot = None
         self.ended = False
 
 
-class FakeServer:
-    """Runs calls in its slots; further calls wait in a FIFO queue.
+class SimulatedServer:
+    """Executes attempts in its slots and queues further ones in order.
 
     Attributes:
-      slowness: factor of the service time, for each slot.
-      failing: whether each call fails at once.
-      refusing: whether each call is refused at once, as not run.
-      reported: in-flight count that it always reports, or None for the
-        true count.
-      report_loss: share of answers without a report.
-      busy: seconds of slot time spent so far.
+      server: core.BackendServer.
+      slowdown: factor of the service time, for each slot.
+      failing: whether each attempt fails immediately.
+      rejecting: whether each attempt is rejected without execution.
+      fixed_in_flight: number of requests in flight that it always reports,
+        or None for the true number.
+      report_loss: probability that a response has no load report.
+      busy_seconds: slot time of the finished attempts.
     """
 
     def __init__(self, *, loop, server, rng):
         self._loop = loop
         self._rng = rng
         self.server = server
-        self.slowness = [1.0] * server.slots
+        self.slowdown = [1.0] * server.slots
         self.failing = False
-        self.refusing = False
-        self.reported = None
+        self.rejecting = False
+        self.fixed_in_flight = None
         self.report_loss = 0.0
-        self.busy = 0.0
+        self.busy_seconds = 0.0
         self._free = list(range(server.slots))
-        self._waiting = collections.deque()
+        self._queue = collections.deque()
         self._in_flight = 0
 
-    def arrive(self, call):
-        """Take a call that has just arrived."""
+    def arrive(self, attempt):
+        """Start, queue or reject an attempt that has arrived."""
         if self.failing:
             self._loop.call_later(
-                _FAILURE_TIME_S, self._answer, call, core.Outcome.FAILED
+                _FAILURE_TIME_S, self._respond, attempt, core.Outcome.FAILED
             )
             return
-        if self.refusing or len(self._waiting) >= SHED_LENGTH:
-            self._answer(call, core.Outcome.NOT_RUN)
+        if self.rejecting or len(self._queue) >= MAX_QUEUE_LENGTH:
+            self._respond(attempt, core.Outcome.NOT_RUN)
             return
         self._in_flight += 1
-        self._waiting.append(call)
+        self._queue.append(attempt)
         self._start_next()
 
-    def cancel(self, call):
-        """Give up a call whose daemon has closed the connection."""
-        if call.ended:
+    def cancel(self, attempt):
+        """Drop an attempt whose daemon has closed the connection."""
+        if attempt.ended:
             return
-        call.ended = True
-        if call.slot is not None or call in self._waiting:
+        attempt.ended = True
+        if attempt.slot is not None or attempt in self._queue:
             self._in_flight -= 1
-        if call.slot is not None:
-            self._free.append(call.slot)
+        if attempt.slot is not None:
+            self._free.append(attempt.slot)
             self._start_next()
 
     def _start_next(self):
-        while self._free and self._waiting:
-            call = self._waiting.popleft()
-            if call.ended:
+        while self._free and self._queue:
+            attempt = self._queue.popleft()
+            if attempt.ended:
                 continue
-            if call.deadline <= self._loop.now:
-                call.ended = True
+            if attempt.deadline <= self._loop.now:
+                attempt.ended = True
                 self._in_flight -= 1
                 continue
-            call.slot = self._free.pop()
-            time = call.work * self.slowness[call.slot]
-            self._loop.call_later(time, self._finish, call, time)
+            attempt.slot = self._free.pop()
+            time = attempt.service_time * self.slowdown[attempt.slot]
+            self._loop.call_later(time, self._finish, attempt, time)
 
-    def _finish(self, call, time):
-        if call.ended:
+    def _finish(self, attempt, time):
+        if attempt.ended:
             return
-        self._free.append(call.slot)
+        self._free.append(attempt.slot)
         self._in_flight -= 1
-        self.busy += time
-        self._answer(call, core.Outcome.OK)
+        self.busy_seconds += time
+        self._respond(attempt, core.Outcome.OK)
         self._start_next()
 
-    def _answer(self, call, outcome):
-        if call.ended:
+    def _respond(self, attempt, outcome):
+        if attempt.ended:
             return
-        call.ended = True
+        attempt.ended = True
         report = None
         if self._rng.random() >= self.report_loss:
             report = self._in_flight
-            if self.reported is not None:
-                report = self.reported
-        call.answered(outcome, report)
+            if self.fixed_in_flight is not None:
+                report = self.fixed_in_flight
+        attempt.on_response(outcome, report)
--- a/wigeonrouter/bench/main.py
+++ b/wigeonrouter/bench/main.py
@@ -19,8 +19,8 @@
 from wigeonrouter.bench import _capacity  # noqa: E402
 from wigeonrouter.bench import _control  # noqa: E402
 from wigeonrouter.bench import _latency  # noqa: E402
-from wigeonrouter.bench import _policy_aims  # noqa: E402
 from wigeonrouter.bench import _policy_main  # noqa: E402
+from wigeonrouter.bench import _policy_targets  # noqa: E402
 
 
 @click.group()
@@ -35,7 +35,7 @@
     context.invoke(_latency.latency)
     context.invoke(_control.control)
     context.invoke(_capacity.capacity)
-    _policy_aims.report_aims()
+    _policy_targets.report_targets()
 
 
 main.add_command(_control.control)
--- a/wigeonrouter/dispatch/_dispatcher_test.py
+++ b/wigeonrouter/dispatch/_dispatcher_test.py
@@ -10,7 +10,7 @@
 
 from wigeonrouter import core
 from wigeonrouter import dispatch
-from wigeonrouter.bench import _policy_clock
+from wigeonrouter.bench import _policy_event_loop
 
 _NORTH = core.Place(region="north", failure_domain="north-a")
 _SOUTH = core.Place(region="south", failure_domain="south-a")
@@ -45,7 +45,7 @@
 
     def __init__(self):
         super().__init__()
-        self.loop = _policy_clock.EventLoop()
+        self.loop = _policy_event_loop.EventLoop()
         self.dispatcher = dispatch.Dispatcher(
             service=_service(),
             place=_NORTH,
