--- a/wigeonrouter/bench/_policy_report.py
+++ b/wigeonrouter/bench/_policy_report.py
@@ -53,14 +53,14 @@
       region: counts only callers of this region, unless None.
     """
     latencies, seconds, total = [], 0.0, 0
-    counts, tenants, retries, region_bytes = {}, {}, 0, 0
+    counts, tenants, retries, total_region_bytes = {}, {}, 0, 0
     for result in results:
         last = max(
             (r.arrival.time for r in result.request_results), default=0.0
         )
         seconds += (last if end is None else end) - start
         retries += result.retries
-        region_bytes += result.region_bytes
+        total_region_bytes += result.region_bytes
         for request_result in result.request_results:
             arrival = request_result.arrival
             if arrival.time < start or (end and arrival.time >= end):
@@ -90,7 +90,7 @@
         late=(counts.get("late", 0) + counts.get("unknown", 0)) / divisor,
         failed=counts.get("failed", 0) / divisor,
         retries=retries / divisor,
-        region_megabytes=region_bytes / 1e6 / seconds,
+        region_megabytes=total_region_bytes / 1e6 / seconds,
         fairness=_jain([ok / sent for ok, sent in tenants.values()]),
     )
 
--- a/wigeonrouter/bench/_policy_run.py
+++ b/wigeonrouter/bench/_policy_run.py
@@ -174,8 +174,10 @@
 
     def finish(self, arrival, outcome, attempts):
         """Record the response that a daemon sends to a caller."""
-        received = self._loop.now + self._settings.deployment.caller_rtt / 2
-        latency = received - arrival.time
+        caller_received = (
+            self._loop.now + self._settings.deployment.caller_rtt / 2
+        )
+        latency = caller_received - arrival.time
         if outcome == "ok" and latency > arrival.timeout:
             outcome = "late"
         self._request_results.append(
@@ -187,13 +189,13 @@
             )
         )
 
-    def send(self, place, server, attempt, on_response):
+    def send(self, place, server, server_attempt, on_response):
         """Deliver an attempt to a server and its response to the daemon.
 
         Args:
           place: core.Place of the daemon.
           server: core.BackendServer.
-          attempt: _policy_server.Attempt.
+          server_attempt: _policy_server.Attempt.
           on_response: called as Attempt.on_response, after the network delay.
         Returns:
           A function that cancels the attempt.
@@ -210,10 +212,12 @@
                 self._region_bytes += _policy_load.RESPONSE_BYTES
             self._loop.call_later(one_way_delay, on_response, outcome, report)
 
-        attempt.on_response = respond
-        self._loop.call_later(one_way_delay, simulated_server.arrive, attempt)
+        server_attempt.on_response = respond
+        self._loop.call_later(
+            one_way_delay, simulated_server.arrive, server_attempt
+        )
         return lambda: self._loop.call_later(
-            one_way_delay, simulated_server.cancel, attempt
+            one_way_delay, simulated_server.cancel, server_attempt
         )
 
     def probe(self, name):
@@ -307,25 +311,25 @@
         if isinstance(result, core.Problem):
             self._finish("refused")
             return
-        state = {"pending": True}
-        attempt = _policy_server.Attempt(
+        state = {"open": True}
+        server_attempt = _policy_server.Attempt(
             service_time=self._arrival.service_time,
             deadline=self._deadline,
             on_response=None,
         )
 
         def on_response(outcome, report):
-            if state["pending"]:
-                state["pending"] = False
+            if state["open"]:
+                state["open"] = False
                 self._on_response(result, outcome, report)
 
         cancel = self._daemon.simulation.send(
-            self._daemon.place, result.server, attempt, on_response
+            self._daemon.place, result.server, server_attempt, on_response
         )
 
         def on_timeout():
-            if state["pending"]:
-                state["pending"] = False
+            if state["open"]:
+                state["open"] = False
                 cancel()
                 self._release(result, core.Outcome.UNKNOWN, None)
                 self._finish("late")
@@ -337,7 +341,7 @@
         if outcome is not core.Outcome.NOT_RUN:
             self._finish(outcome.value)
             return
-        may_retry = request_path.may_retry(
+        can_retry = request_path.may_retry(
             kind=self._daemon.simulation.kind,
             failure=core.Problem(problem=core.problems.REFUSED_BY_SERVER),
             attempt=self._attempts,
@@ -345,7 +349,7 @@
             now=self._loop.now,
             deadline=self._deadline,
         )
-        if not may_retry or not self._daemon.budget.try_spend():
+        if not can_retry or not self._daemon.budget.try_spend():
             self._finish("refused")
             return
         self._daemon.simulation.count_retry()
--- a/wigeonrouter/bench/_policy_run_test.py
+++ b/wigeonrouter/bench/_policy_run_test.py
@@ -32,7 +32,8 @@
         servers=servers, shape=_SHAPE, seed=1
     )
     numbers = sorted(
-        result.arrival.number for result in first[0].request_results
+        request_result.arrival.number
+        for request_result in first[0].request_results
     )
     assert numbers == [arrival.number for arrival in arrivals]
 
