--- a/wigeonrouter/bench/__init__.py
+++ b/wigeonrouter/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Load and experiment tool, reports and plots."""
+"""Benchmarks, policy simulation and demonstration."""
--- a/wigeonrouter/bench/_callers.py
+++ b/wigeonrouter/bench/_callers.py
@@ -1,4 +1,4 @@
-"""Callers that ask for an entry, connect there and check every answer."""
+"""Callers that query an entry, send requests to it and check responses."""
 
 import collections
 import dataclasses
@@ -9,13 +9,21 @@
 from hdrh import histogram
 
 _MAX_LATENCY_US = 60_000_000
-# The longest timeout of the example settings.
-DEADLINE_S = 2.5
+# The longest request timeout in the example settings.
+MAX_RESPONSE_TIME_S = 2.5
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class TrafficClass:
-    """One class of requests that callers send."""
+    """Requests of one kind that callers send to one service.
+
+    Attributes:
+      service: path of the service.
+      method: HTTP method.
+      target: path of the request target.
+      region: region of the callers.
+      idempotent: whether the settings allow repeated execution.
+    """
 
     service: str
     method: str
@@ -24,57 +32,71 @@
     idempotent: bool
 
 
-class ClassResult:
-    """Collects what the callers of one class saw."""
+class TrafficClassResult:
+    """Collects the results of all callers of one traffic class.
+
+    Attributes:
+      traffic: TrafficClass.
+      sent: number of requests.
+      outcomes: number of requests for each outcome.
+      mismatched: responses that belong to another request.
+      outcome_by_id: outcome for each request id.
+    """
 
     def __init__(self, *, traffic):
         self.traffic = traffic
         self.sent = 0
         self.outcomes = collections.Counter()
-        self.crossed = 0
-        self.by_id = {}
+        self.mismatched = 0
+        self.outcome_by_id = {}
         self._latency = histogram.HdrHistogram(1, _MAX_LATENCY_US, 3)
 
     def add(self, request_id, outcome, seconds):
-        """Record one request."""
+        """Record the outcome and latency, in seconds, of one request."""
         self.sent += 1
         self.outcomes[outcome] += 1
-        self.by_id[request_id] = outcome
+        self.outcome_by_id[request_id] = outcome
         self._latency.record_value(max(1, int(seconds * 1e6)))
 
-    def quantile_ms(self, percent):
-        """Return a latency quantile in ms."""
+    def percentile_ms(self, percent):
+        """Return a latency percentile in ms; percent is from 0 to 100."""
         return self._latency.get_value_at_percentile(percent) / 1000
 
 
-class NoEntry(Exception):
-    """No daemon answered an entry query."""
+class NoEntryAvailable(Exception):
+    """No daemon returned an entry for a service."""
 
 
 class Caller:
-    """One caller: keeps an entry answer for its lifetime.
-
-    Attributes of the constructor: admins are the addresses that entry
-    queries go to, in order of preference.
+    """Sends requests and caches the entry response for its TTL.
+
+    Constructor arguments:
+      name: prefix of its nonces, unique among callers.
+      traffic: TrafficClass.
+      admin_addresses: core.Address of each daemon to query for entries, in
+        order of preference.
+      timeout: network timeout in seconds.
     """
 
-    def __init__(self, *, name, traffic, admins, timeout=10.0):
+    def __init__(self, *, name, traffic, admin_addresses, timeout=10.0):
         self._name = name
         self._traffic = traffic
-        self._admins = admins
+        self._admin_addresses = admin_addresses
         self._timeout = timeout
-        self._count = 0
+        self._sent_count = 0
         self._client = None
         self._address = ""
-        self._prefix = ""
-        self._expires = 0.0
+        self._request_id_prefix = ""
+        self._entry_expires = 0.0
 
     def send(self, result):
-        """Send one request and record how it ended."""
-        self._choose_entry()
-        self._count += 1
-        nonce = f"{self._name}-{self._count}"
-        request_id = f"{self._prefix}.{int(time.time() * 1000)}.{nonce}"
+        """Send one request and record its outcome in a TrafficClassResult."""
+        self._refresh_entry()
+        self._sent_count += 1
+        nonce = f"{self._name}-{self._sent_count}"
+        request_id = (
+            f"{self._request_id_prefix}.{int(time.time() * 1000)}.{nonce}"
+        )
         started = time.monotonic()
         try:
             response = self._client.request(
@@ -86,22 +108,22 @@
             body = response.read()
         except (OSError, ValueError) as error:
             result.add(request_id, f"lost ({type(error).__name__})", 0.0)
-            self._expires = 0.0
+            self._entry_expires = 0.0
             return
         seconds = time.monotonic() - started
         outcome = response.get("x-outcome") or "ok"
         if outcome == "ok":
-            if seconds > DEADLINE_S:
+            if seconds > MAX_RESPONSE_TIME_S:
                 outcome = "late"
             if json.loads(body)["request_id"] != request_id:
-                result.crossed += 1
+                result.mismatched += 1
         result.add(request_id, outcome, seconds)
 
-    def _choose_entry(self):
-        if time.monotonic() < self._expires:
+    def _refresh_entry(self):
+        if time.monotonic() < self._entry_expires:
             return
-        answer = self._ask()
-        entry = answer["entries"][0]
+        entry_response = self._query_entries()
+        entry = entry_response["entries"][0]
         if entry["address"] != self._address:
             host, _, port = entry["address"].rpartition(":")
             if self._client is not None:
@@ -113,26 +135,34 @@
                 connection_timeout=self._timeout,
             )
             self._address = entry["address"]
-        self._prefix = entry["request_id_prefix"]
-        self._expires = time.monotonic() + answer["ttl_ms"] / 1000
+        self._request_id_prefix = entry["request_id_prefix"]
+        self._entry_expires = (
+            time.monotonic() + entry_response["ttl_ms"] / 1000
+        )
 
-    def _ask(self):
-        """Return the entry answer of the first daemon that gives one."""
+    def _query_entries(self):
+        """Return the first non-empty entry response, by order of preference.
+
+        Raises:
+          NoEntryAvailable: no daemon returned an entry.
+        """
         target = (
             f"/v1/entries?service={self._traffic.service}"
             f"&region={self._traffic.region}"
             f"&failure_domain={self._traffic.region}-a"
         )
-        for address in self._admins:
+        for address in self._admin_addresses:
             client = geventhttpclient.HTTPClient(address.host, address.port)
             try:
                 response = client.get(target)
-                answer = json.loads(response.read())
-                if response.status_code == 200 and answer["entries"]:
-                    return answer
+                entry_response = json.loads(response.read())
+                if response.status_code == 200 and entry_response["entries"]:
+                    return entry_response
             except (OSError, ValueError):
-                # Entry queries change nothing; the next daemon is asked.
+                # Entry queries are idempotent, so the next daemon is queried.
                 continue
             finally:
                 client.close()
-        raise NoEntry(f"no daemon names an entry for {self._traffic.service}")
+        raise NoEntryAvailable(
+            f"no daemon returned an entry for {self._traffic.service}"
+        )
--- a/wigeonrouter/bench/_control.py
+++ b/wigeonrouter/bench/_control.py
@@ -72,7 +72,7 @@
         name=name,
         value=value,
         unit=unit,
-        bound=_result_lines.target_of(name),
+        bound=_result_lines.bound_of(name),
     )
 
 
--- a/wigeonrouter/bench/_failures_test.py
+++ b/wigeonrouter/bench/_failures_test.py
@@ -1,4 +1,7 @@
-"""Guards against lost or old configuration when real processes fail."""
+"""Guards against lost or outdated configuration after process failures.
+
+The daemons and the store are real processes.
+"""
 
 from concurrent import futures
 import json
@@ -22,25 +25,25 @@
     ("south", "south-b"),
     ("south", "south-a"),
 )
-# Longer than the time after which a silent daemon is declared dead.
-_FREEZE_S = 9.0
+# Longer than the time after which peers declare a silent daemon dead.
+_PAUSE_S = 9.0
 
 
-class _Fleet:
-    """Four daemons and a store, all processes of their own."""
+class _DaemonFleet:
+    """Four daemons and a store, each in its own process."""
 
     def __init__(self, processes):
         self._processes = processes
         (self._store,) = _ports.free_addresses(1)
         self._ports = [_ports.free_ports(3) for _ in _PLACES]
         processes.start_store(self._store)
-        _wait_for(self._store_answers)
+        _wait_for(self._is_store_reachable)
         for number in range(4):
             self.start(number)
         self.wait_for_all("alive", range(4), range(4))
 
     def start(self, number):
-        """Start a daemon; it is ready afterwards."""
+        """Start a daemon and wait until it is ready."""
         region, domain = _PLACES[number]
         self._processes.start_daemon(
             daemon_id=f"d{number}",
@@ -54,8 +57,8 @@
         self._processes.send_signal(f"d{number}", signal.SIGKILL)
         self._processes.wait(f"d{number}")
 
-    def send_signal(self, number, which):
-        self._processes.send_signal(f"d{number}", which)
+    def send_signal(self, number, signal_number):
+        self._processes.send_signal(f"d{number}", signal_number)
 
     def set_fault(self, **fault):
         client = store_api.open_store(
@@ -68,7 +71,7 @@
         return self._call("GET", number, "/v1/status")
 
     def accept(self, number, name, base=None):
-        """Accept a change; return the reply."""
+        """Change the settings of a service; return the parsed response."""
         document = {"settings": {"match": {"service_header": name}}}
         path = f"/v1/config?path=/{name}&change_id={name}"
         if base is not None:
@@ -84,7 +87,7 @@
         )
 
     def wait_for_all(self, state, members, observers):
-        """Wait until the observers see the members in a state."""
+        """Wait until all observers report the members in a state."""
         names = {f"d{number}" for number in members}
         _wait_for(
             lambda: all(
@@ -105,10 +108,10 @@
             data=json.dumps(document).encode() if document else None,
             headers={"Authorization": f"Bearer {_processes.TOKEN}"},
         )
-        with urllib.request.urlopen(request, timeout=20) as reply:
-            return json.load(reply)
+        with urllib.request.urlopen(request, timeout=20) as response:
+            return json.load(response)
 
-    def _store_answers(self):
+    def _is_store_reachable(self):
         try:
             self.set_fault()
         except store_api.StoreError:
@@ -117,32 +120,35 @@
 
 
 def _wait_for(condition):
-    """Wait; the time only bounds a failing test."""
-    ends = time.monotonic() + 60
+    """Wait until a function returns true; fail after 60 s."""
+    deadline = time.monotonic() + 60
     while not condition():
-        assert time.monotonic() < ends, "condition was not met"
+        assert time.monotonic() < deadline, "condition was not met"
         time.sleep(0.1)
 
 
 @pytest.fixture
 def fleet():
-    """Four ready daemons that know each other."""
+    """Four ready daemons that see each other as alive."""
     with _processes.Fleet() as processes:
-        yield _Fleet(processes)
+        yield _DaemonFleet(processes)
+
 
+def test_acknowledged_change_survives_loss_of_its_daemon_and_the_store(fleet):
+    """Guards against acknowledging a change before peers hold it.
 
-def test_an_acknowledged_change_outlives_its_daemon_and_the_store(fleet):
-    """SIGKILL right after the answer, and the store fails as well."""
-    reply = fleet.accept(0, "one")
+    The store fails and the daemon is killed right after its response.
+    """
+    response = fleet.accept(0, "one")
     fleet.set_fault(down=True)
     fleet.kill(0)
-    assert len(reply["acknowledged_by"]) >= 2
+    assert len(response["acknowledged_by"]) >= 2
     fleet.wait_for_revision(1, [1, 2, 3])
     fleet.wait_for_all("dead", [0], [1, 2, 3])
-    with pytest.raises(urllib.error.HTTPError) as refused:
+    with pytest.raises(urllib.error.HTTPError) as rejected:
         fleet.accept(1, "two")
-    assert refused.value.code == 503
-    # A daemon that starts during the outage is not older than its peers.
+    assert rejected.value.code == 503
+    # A daemon that starts during the outage must fetch its peers' revision.
     fleet.start(4)
     assert fleet.status(4)["revision"] == 1
     fleet.set_fault()
@@ -150,9 +156,14 @@
     fleet.wait_for_revision(2, [1, 2, 3, 4])
 
 
-def test_a_frozen_daemon_is_left_out_and_catches_up(fleet):
+def test_paused_daemon_is_declared_dead_and_catches_up(fleet):
+    """Guards against outdated configuration after a long process pause.
+
+    The store is down when the daemon resumes, so it must fetch the change
+    that it missed from peers and rejoin them.
+    """
     fleet.send_signal(1, signal.SIGSTOP)
-    time.sleep(_FREEZE_S)
+    time.sleep(_PAUSE_S)
     fleet.wait_for_all("dead", [1], [0, 2, 3])
     fleet.accept(0, "one")
     fleet.set_fault(down=True)
@@ -161,7 +172,11 @@
     fleet.wait_for_all("alive", range(4), range(4))
 
 
-def test_a_replaced_daemon_is_taken_back_under_its_old_name(fleet):
+def test_replaced_daemon_rejoins_under_its_old_name(fleet):
+    """Guards against rejecting a new process that has a dead member's name.
+
+    The store is down, so it must also fetch the configuration from peers.
+    """
     fleet.accept(0, "one")
     fleet.kill(2)
     fleet.wait_for_all("dead", [2], [0, 1, 3])
@@ -171,18 +186,19 @@
     fleet.wait_for_all("alive", range(4), range(4))
 
 
-def test_racing_daemons_accept_each_revision_once(fleet):
-    for turn in range(3):
+def test_concurrent_changes_get_distinct_revisions(fleet):
+    """Guards against two daemons that accept changes as the same revision."""
+    for batch in range(3):
         with futures.ThreadPoolExecutor() as pool:
-            replies = list(
+            responses = list(
                 pool.map(
-                    lambda number, turn=turn: fleet.accept(
-                        number, f"c{turn}-{number}", base=4 * turn
+                    lambda number, batch=batch: fleet.accept(
+                        number, f"c{batch}-{number}", base=4 * batch
                     ),
                     range(4),
                 )
             )
-        assert {reply["revision"] for reply in replies} == set(
-            range(4 * turn + 1, 4 * turn + 5)
+        assert {response["revision"] for response in responses} == set(
+            range(4 * batch + 1, 4 * batch + 5)
         )
     fleet.wait_for_revision(12, range(4))
--- a/wigeonrouter/bench/_measuring.py
+++ b/wigeonrouter/bench/_measuring.py
@@ -1,4 +1,4 @@
-"""Processor time and memory of this process."""
+"""Measures processor time and memory of this process."""
 
 import time
 
@@ -8,20 +8,20 @@
 
 
 def resident_bytes():
-    """Return the resident memory of this process."""
+    """Return the resident memory of this process in bytes."""
     with open("/proc/self/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * _PAGE_BYTES
 
 
 def cpu_seconds(function):
-    """Return the processor time of one call."""
+    """Return the processor time of one call in seconds."""
     started = time.process_time()
     function()
     return time.process_time() - started
 
 
 def cpu_seconds_each(function):
-    """Return the processor time of a call, of the best of some batches."""
+    """Return the mean processor time of a call in the fastest batch, in s."""
     batches = []
     for _ in range(_BATCHES):
         started = time.process_time()
--- a/wigeonrouter/bench/_ports.py
+++ b/wigeonrouter/bench/_ports.py
@@ -1,29 +1,27 @@
-"""Free ports for the processes of a test or measurement."""
+"""Free ports for the processes of a test or benchmark."""
 
 import itertools
 import os
 import socket
 
-# Below the range that the kernel gives to outgoing connections, so that
-# none of them takes a port between the check and the use.
-_FIRST = 10_000
-_LAST = 32_000
-# Test runs at the same time start far apart, by their process id.
-_STRIDE = 97
-_next = itertools.count(os.getpid() * _STRIDE)
+# Below the kernel's ephemeral port range, so that no outgoing connection
+# takes a port between the check and its use.
+_FIRST_PORT = 10_000
+_END_PORT = 32_000
+# Offsets start at the process id times this, so that concurrent test runs
+# try different ports.
+_PORTS_PER_PROCESS = 97
+_port_offsets = itertools.count(os.getpid() * _PORTS_PER_PROCESS)
 
 
 def free_ports(count):
-    """Return free ports of the loopback interface, each given out once.
+    """Return a list of free loopback port numbers.
 
-    Args:
-      count: how many.
-    Returns:
-      A list of port numbers.
+    Until the range wraps around, no port is returned twice.
     """
     ports = []
     while len(ports) < count:
-        port = _FIRST + next(_next) % (_LAST - _FIRST)
+        port = _FIRST_PORT + next(_port_offsets) % (_END_PORT - _FIRST_PORT)
         with socket.socket() as sock:
             try:
                 sock.bind(("127.0.0.1", port))
--- a/wigeonrouter/bench/_processes.py
+++ b/wigeonrouter/bench/_processes.py
@@ -1,4 +1,4 @@
-"""Starts and ends the processes of a measurement or demonstration."""
+"""Starts and stops the processes of a benchmark, demonstration or test."""
 
 import hashlib
 import json
@@ -18,16 +18,19 @@
 
 
 class StartFailed(Exception):
-    """A process did not become ready."""
+    """A daemon did not become ready within its start timeout."""
 
 
 class Fleet:
-    """Owns the processes that it started, and ends only those."""
+    """Starts processes, and stops only those that it started.
+
+    Leaving the context kills them and deletes their settings and output.
+    """
 
     def __init__(self):
         self._directory = tempfile.TemporaryDirectory()
         self._processes = {}
-        self._documents = {}
+        self._settings_by_daemon = {}
 
     def __enter__(self):
         return self
@@ -36,7 +39,12 @@
         self.close()
 
     def start_store(self, address, *, vms=()):
-        """Start a store stand-in."""
+        """Start a store stand-in.
+
+        Args:
+          address: loopback address that it listens on, as text.
+          vms: VM list that it serves, as JSON objects.
+        """
         self._start(
             "store",
             ["-m", "wigeonrouter.standins.main", "store"]
@@ -44,7 +52,13 @@
         )
 
     def start_backends(self, name, addresses, *, service_ms):
-        """Start one process that serves all given backend addresses."""
+        """Start one process with a backend server at each address.
+
+        Args:
+          name: name of the process.
+          addresses: addresses as text.
+          service_ms: service time of each request.
+        """
         arguments = ["-m", "wigeonrouter.standins.main", "backend"]
         arguments += ["--service-ms", str(service_ms)]
         for address in addresses:
@@ -52,7 +66,7 @@
         self._start(name, arguments)
 
     def start_daemon(
-        self, *, daemon_id, place, ports, store, seeds=(), **more
+        self, *, daemon_id, place, ports, store, seeds=(), **extra_settings
     ):
         """Start a daemon and wait until it is ready.
 
@@ -62,7 +76,9 @@
           ports: caller, admin and peer port.
           store: address of the store.
           seeds: peer addresses.
-          more: further daemon settings.
+          extra_settings: further daemon settings.
+        Raises:
+          StartFailed: it was not ready in time.
         """
         caller, admin, peer = (f"127.0.0.1:{port}" for port in ports)
         document = {
@@ -77,53 +93,57 @@
             "bootstrap_token_sha256": hashlib.sha256(
                 TOKEN.encode()
             ).hexdigest(),
-            **more,
+            **extra_settings,
         }
         self.write_settings(daemon_id, document)
         self.restart_daemon(daemon_id)
 
     def restart_daemon(self, daemon_id):
-        """Start a daemon with its settings file and wait until it is ready."""
+        """Start a daemon with its settings file and wait until it is ready.
+
+        Raises:
+          StartFailed: it was not ready in time.
+        """
         path = self.settings_path(daemon_id)
         self._start(
             daemon_id,
             ["-m", "wigeonrouter.daemon.main", "--settings", path],
         )
-        admin = self._documents[daemon_id]["admin_address"]
+        admin = self._settings_by_daemon[daemon_id]["admin_address"]
         try:
             wait_ready(core.parse_address(admin))
         except StartFailed as error:
             raise StartFailed(
-                f"{error}; its output ends with "
+                f"{error}; the end of its output is "
                 f"{self.output(daemon_id)[-1000:]!r}"
             ) from error
 
     def settings_path(self, daemon_id):
-        """Return the name of a daemon's settings file."""
+        """Return the path of a daemon's settings file."""
         return os.path.join(self._directory.name, f"{daemon_id}.json")
 
     def change_settings(self, daemon_id, **changes):
-        """Change the settings file of a daemon."""
+        """Replace some settings in the settings file of a daemon."""
         self.write_settings(
-            daemon_id, {**self._documents[daemon_id], **changes}
+            daemon_id, {**self._settings_by_daemon[daemon_id], **changes}
         )
 
     def write_settings(self, daemon_id, document):
         """Write the settings file of a daemon."""
-        self._documents[daemon_id] = document
+        self._settings_by_daemon[daemon_id] = document
         with open(
             self.settings_path(daemon_id), "w", encoding="utf-8"
         ) as file:
             json.dump(document, file)
 
     def output(self, name):
-        """Return what a process has written so far."""
+        """Return the standard output and error of a process so far."""
         path = os.path.join(self._directory.name, f"{name}.log")
         with open(path, encoding="utf-8") as file:
             return file.read()
 
     def pid(self, name):
-        """Return the process id of a process."""
+        """Return the id of a process."""
         return self._processes[name].pid
 
     def send_signal(self, name, number):
@@ -131,17 +151,21 @@
         self._processes[name].send_signal(number)
 
     def wait(self, name):
-        """Wait for the end of a process and return its exit code."""
+        """Wait for a process to end and return its exit code.
+
+        Raises:
+          subprocess.TimeoutExpired: it still runs after the stop timeout.
+        """
         return self._processes.pop(name).wait(timeout=_STOP_TIMEOUT_S)
 
     def end(self, name):
-        """Kill a process at once."""
+        """Send SIGKILL to a process and wait for its end."""
         process = self._processes.pop(name)
         process.kill()
         process.wait()
 
     def close(self):
-        """End all processes."""
+        """Kill all processes, also stopped ones, and delete their files."""
         for process in self._processes.values():
             process.send_signal(signal.SIGCONT)
             process.kill()
@@ -160,23 +184,30 @@
 
 
 def wait_ready(address):
-    """Wait until the daemon with an admin address is ready.
+    """Wait until the daemon with this administration address is ready.
 
     Raises:
       StartFailed: it was not ready in time.
     """
-    ends = time.monotonic() + _START_TIMEOUT_S
-    while time.monotonic() < ends:
+    deadline = time.monotonic() + _START_TIMEOUT_S
+    while time.monotonic() < deadline:
         try:
             with urllib.request.urlopen(f"http://{address}/readyz", timeout=1):
                 return
         except OSError:
             time.sleep(0.05)
-    raise StartFailed(f"daemon at {address} is not ready")
+    raise StartFailed(f"daemon at {address} did not become ready in time")
 
 
 def run_cli(*arguments, server):
-    """Run the command-line tool and return its standard output."""
+    """Run the command-line tool and return its standard output.
+
+    Args:
+      arguments: command and its arguments.
+      server: administration address of a daemon, as text.
+    Raises:
+      subprocess.CalledProcessError: the tool failed.
+    """
     return subprocess.run(
         [sys.executable, "-m", "wigeonrouter.cli.main", *arguments],
         env={
--- a/wigeonrouter/bench/_result_lines.py
+++ b/wigeonrouter/bench/_result_lines.py
@@ -1,9 +1,10 @@
-"""Result lines of measurements: name, value, unit, bound and verdict."""
+"""Result lines of benchmarks: name, value, unit, bound and verdict."""
 
 import click
 
-# Bounds of the stated target, by the last part of a figure's name.
-_TARGETS = {
+# Required bounds, by the last part of a result's name. The unit is that of
+# the result line.
+_BOUNDS = {
     "cpu_per_node": 3.8,
     "cpu_max": 3.8,
     "memory_max": 128.0,
@@ -13,9 +14,9 @@
 }
 
 
-def target_of(name):
-    """Return the bound of a figure, or None where no target is stated."""
-    return _TARGETS.get(name.rpartition(".")[2])
+def bound_of(name):
+    """Return the upper bound required of a result, or None without one."""
+    return _BOUNDS.get(name.rpartition(".")[2])
 
 
 def write_line(*, name, value, unit, bound=None, at_least=False):
@@ -25,13 +26,12 @@
       name: what was measured.
       value: number.
       unit: text.
-      bound: number of the stated target, or None.
-      at_least: whether the value has to reach the bound instead of staying
-        within it.
+      bound: required bound, or None.
+      at_least: whether the bound is a lower bound instead of an upper one.
     """
     if bound is None:
-        verdict, shown = "-", "-"
+        verdict, bound_text = "-", "-"
     else:
-        met = value >= bound if at_least else value <= bound
-        verdict, shown = "ok" if met else "short", f"{bound:g}"
-    click.echo(f"{name:44} {value:14.6g} {unit:12} {shown:>8} {verdict}")
+        is_met = value >= bound if at_least else value <= bound
+        verdict, bound_text = "ok" if is_met else "short", f"{bound:g}"
+    click.echo(f"{name:44} {value:14.6g} {unit:12} {bound_text:>8} {verdict}")
--- a/wigeonrouter/bench/main.py
+++ b/wigeonrouter/bench/main.py
@@ -2,8 +2,9 @@
 
 import os
 
-# This process starts others. gRPC's fork handlers would run its polling
-# thread in the child, where closed descriptors make it abort before exec.
+# This process starts child processes. gRPC's fork handlers would run its
+# polling thread in the child, which aborts before exec because file
+# descriptors are closed.
 os.environ["GRPC_ENABLE_FORK_SUPPORT"] = "0"
 
 from gevent import monkey  # noqa: E402
@@ -25,13 +26,13 @@
 
 @click.group()
 def main():
-    """Measure wigeonrouter."""
+    """Run benchmarks and simulations of wigeonrouter."""
 
 
 @main.command(name="all")
 @click.pass_context
 def run_all(context):
-    """Run every measurement with few repetitions; takes minutes."""
+    """Run all benchmarks with few repetitions; takes minutes."""
     context.invoke(_latency.latency)
     context.invoke(_control.control)
     context.invoke(_capacity.capacity)
