--- a/wigeonrouter/dispatch/_server_table.py
+++ b/wigeonrouter/dispatch/_server_table.py
@@ -115,7 +115,9 @@
         self._positions = {}
         self._eligible, self._local, self._remote = [], [], {}
         for name, view in self._views.items():
-            if not health.is_eligible(view=view, draining=self._draining):
+            if not health.is_eligible(
+                view=view, draining_addresses=self._draining
+            ):
                 continue
             region = view.server.place.region
             if region == self._place.region:
--- a/wigeonrouter/dispatch/_server_table_test.py
+++ b/wigeonrouter/dispatch/_server_table_test.py
@@ -74,7 +74,7 @@
         eligible = [
             view
             for view in self.table.views
-            if health.is_eligible(view=view, draining=self.draining)
+            if health.is_eligible(view=view, draining_addresses=self.draining)
         ]
         local = [v for v in eligible if v.server.place.region == "r0"]
         remote = [v for v in eligible if v.server.place.region != "r0"]
--- a/wigeonrouter/health/_rules.py
+++ b/wigeonrouter/health/_rules.py
@@ -171,17 +171,21 @@
     )
 
 
-def is_eligible(*, view, draining):
+def is_eligible(*, view, draining_addresses):
     """Return whether a server may get new requests.
 
     Args:
       view: core.BackendView.
-      draining: set of addresses, as text, that were declared draining.
+      draining_addresses: set of addresses, as text, of the servers that were
+        declared draining.
     """
     return not (
         view.server.draining
         or view.state in (core.ServerState.DRAINING, core.ServerState.EJECTED)
-        or (draining and str(view.server.address) in draining)
+        or (
+            draining_addresses
+            and str(view.server.address) in draining_addresses
+        )
     )
 
 
--- a/wigeonrouter/health/_rules_test.py
+++ b/wigeonrouter/health/_rules_test.py
@@ -92,11 +92,13 @@
     now, pauses = 0.0, []
     for _ in range(4):
         view = _step(view, refused, group, now)
-        assert not health.is_eligible(view=view, draining=frozenset())
+        assert not health.is_eligible(
+            view=view, draining_addresses=frozenset()
+        )
         pauses.append(view.ejected_until - now)
         now = view.ejected_until
         view = health.advance(view=view, settings=_SETTINGS, now=now)
-        assert health.is_eligible(view=view, draining=frozenset())
+        assert health.is_eligible(view=view, draining_addresses=frozenset())
     assert pauses == pytest.approx([0.1, 0.2, 0.4, 0.8])
 
 
@@ -129,12 +131,12 @@
     view = _step(group[0], attempt, group)
     view = _probe(view, reached=True, healthy=True, now=2.0)
     view = health.advance(view=view, settings=_SETTINGS, now=1000.0)
-    assert not health.is_eligible(view=view, draining=frozenset())
+    assert not health.is_eligible(view=view, draining_addresses=frozenset())
 
 
 def test_drain_announced_in_a_probe_response_is_applied():
     view = _probe(_group()[0], reached=True, draining=True, now=1.0)
-    assert not health.is_eligible(view=view, draining=frozenset())
+    assert not health.is_eligible(view=view, draining_addresses=frozenset())
 
 
 def test_restarted_server_returns_in_slow_start():
@@ -144,7 +146,7 @@
     view = _probe(view, reached=False, now=2.0)
     view = _probe(view, reached=True, healthy=True, now=3.0)
     assert view.state is core.ServerState.COLD
-    assert health.is_eligible(view=view, draining=frozenset())
+    assert health.is_eligible(view=view, draining_addresses=frozenset())
 
 
 def test_half_open_server_gets_no_non_idempotent_requests():
@@ -166,7 +168,7 @@
         view = dataclasses.replace(view, server=_server(0, draining=True))
     else:
         draining = frozenset((str(view.server.address),))
-    assert not health.is_eligible(view=view, draining=draining)
+    assert not health.is_eligible(view=view, draining_addresses=draining)
 
 
 class GroupMachine(stateful.RuleBasedStateMachine):
@@ -185,7 +187,7 @@
     )
     def attempt(self, index, outcome, draining):
         view = self.group[index]
-        if not health.is_eligible(view=view, draining=frozenset()):
+        if not health.is_eligible(view=view, draining_addresses=frozenset()):
             return
         report = _report(draining)
         self.group[index] = _step(
@@ -221,7 +223,7 @@
     def draining_server_is_ineligible_until_it_restarts(self):
         for index in self.announced_drain:
             assert not health.is_eligible(
-                view=self.group[index], draining=frozenset()
+                view=self.group[index], draining_addresses=frozenset()
             )
 
     @stateful.invariant()
