--- a/wigeonrouter/node/_server_pool.py
+++ b/wigeonrouter/node/_server_pool.py
@@ -81,14 +81,14 @@
         self._health_path = ""
         self._registrations = {}
         self._views = {}
-        self._times = placement.ServiceTimes()
+        self._service_times = placement.ServiceTimes()
         self._remote_poll_task = None
         self._remote_poll_until = float("-inf")
 
     @property
     def service_times(self):
         """placement.ServiceTimes of the service."""
-        return self._times
+        return self._service_times
 
     @property
     def in_flight(self):
@@ -226,7 +226,7 @@
             registration=self._registrations[view.instance],
             granted_at=now,
             expected_slowdown=placement.expected_slowdown(
-                view, now, self._times.mean_slowdown
+                view, now, self._service_times.mean_slowdown
             ),
             nearly_full=placement.is_nearly_full(load, view.slots),
             report_age=(
@@ -238,7 +238,7 @@
             expected_latency=placement.expected_latency(
                 view,
                 service_time=service_time,
-                mean_slowdown=self._times.mean_slowdown,
+                mean_slowdown=self._service_times.mean_slowdown,
                 now=now,
             ),
         )
@@ -259,7 +259,7 @@
         if view is not None:
             self._update_view(view, outcome, load)
         if outcome is placement.AttemptOutcome.SUCCEEDED:
-            self._times.record_service_time(
+            self._service_times.record_service_time(
                 route,
                 placement.undisturbed_service_time(
                     latency=latency,
@@ -354,7 +354,7 @@
         )
 
     def _make_report(self, load, view, now):
-        self._times.record_slowdown(load.slowdown)
+        self._service_times.record_slowdown(load.slowdown)
         return placement.LoadReport(
             running=load.running,
             queued=load.queued,
