--- a/wigeonrouter/core/_problems.py
+++ b/wigeonrouter/core/_problems.py
@@ -109,6 +109,6 @@
     "The daemon that the request id names cannot be asked",
     503,
 )
-# Only in logs and metrics: the caller is gone, so no response is sent.
+# Only in logs and metrics: the caller has disconnected and gets no response.
 CALLER_GONE = _unknown("caller-gone", "The caller closed its connection", 499)
 INTERNAL = _unknown("internal", "The daemon failed", 500)
--- a/wigeonrouter/core/_records.py
+++ b/wigeonrouter/core/_records.py
@@ -128,8 +128,8 @@
       last_used: time at which the last request was sent to it.
       failures_in_row: consecutive failed attempts.
       refusals_in_row: consecutive refused connections or requests.
-      ejections: ejections since the server last returned enough responses
-        to be trusted again.
+      ejections: ejections since the server last completed its slow start by
+        returning enough responses.
       ejected_until: time at which the current ejection ends.
       stopped: whether a draining server has refused a connection since it
         announced the drain.
@@ -196,9 +196,9 @@
 
     Attributes:
       policy: name of the selection policy.
-      entry_scope: area, "region" or "failure-domain", whose callers share
+      entry_scope: scope, "region" or "failure-domain", whose callers share
         the same home daemons.
-      homes: home daemons per area.
+      homes: home daemons per scope.
       price_per_ms: weight of one millisecond of expected latency.
       price_failure_domain_ms: penalty for a server in another failure
         domain, milliseconds.
@@ -291,7 +291,7 @@
     Attributes:
       name: path of its node, for instance ``/carril-azul/holds``.
       servers: backend servers of all its groups, ordered by name.
-      kinds: its classes of requests.
+      kinds: its traffic kinds.
     """
 
     name: str
--- a/wigeonrouter/health/_drain_tracker.py
+++ b/wigeonrouter/health/_drain_tracker.py
@@ -16,13 +16,22 @@
 # One daemon per region polls the VM list, so the store gets one call per
 # region in each interval.
 POLL_INTERVAL_S = 2.0
-TASK = "vm-list-reader"
+# Task of a region; its owner polls the VM list.
+VM_LIST_READER_TASK = "vm-list-reader"
 _ACTIVE = "active"
 _DRAINING = core.ServerState.DRAINING.value
 
 
 class DrainTracker:
-    """Publishes drain facts and applies those of all daemons."""
+    """Publishes drain facts and applies those of all daemons.
+
+    Args:
+      gossip: membership.Gossip.
+      store: store.Store that holds the VM list.
+      replica: configuration.Replica.
+      apply_draining: function that is called with the frozen set of the
+        addresses, as text, of all draining servers when the facts change.
+    """
 
     def __init__(self, *, gossip, store, replica, apply_draining):
         self._gossip = gossip
@@ -52,7 +61,7 @@
         version = 0
         while True:
             gevent.sleep(POLL_INTERVAL_S)
-            if not self._gossip.table.owns_in_region(TASK):
+            if not self._gossip.table.owns_in_region(VM_LIST_READER_TASK):
                 version = 0
                 continue
             try:
--- a/wigeonrouter/health/_prober.py
+++ b/wigeonrouter/health/_prober.py
@@ -14,7 +14,16 @@
 
 
 class Prober:
-    """Sends the probes of one daemon within the probe budget."""
+    """Sends the probes of one daemon within the probe budget.
+
+    Args:
+      place: core.Place of the daemon.
+      daemon_id: id of the daemon.
+      live_members: function that returns the alive members, core.Member.
+      dispatchers: function that returns a dict from service name to
+        Dispatcher.
+      clock: monotonic clock, seconds.
+    """
 
     def __init__(
         self,
--- a/wigeonrouter/health/_processes_test.py
+++ b/wigeonrouter/health/_processes_test.py
@@ -103,9 +103,9 @@
 
 
 def _wait(condition):
-    ends = time.monotonic() + 30
+    deadline = time.monotonic() + 30
     while not condition():
-        assert time.monotonic() < ends, "condition not reached in 30 s"
+        assert time.monotonic() < deadline, "condition not reached in 30 s"
         gevent.sleep(0.1)
 
 
--- a/wigeonrouter/health/_rules_test.py
+++ b/wigeonrouter/health/_rules_test.py
@@ -228,17 +228,19 @@
 
     @stateful.invariant()
     def ejections_leave_at_least_half_of_the_group(self):
-        staying = [
+        not_draining = [
             view
             for view in self.group
             if view.state is not core.ServerState.DRAINING
         ]
         ejected = [
-            view for view in staying if view.state is core.ServerState.EJECTED
+            view
+            for view in not_draining
+            if view.state is core.ServerState.EJECTED
         ]
         # Drains after the ejections may leave fewer than half.
-        if not self.announced_drain and len(staying) == len(self.group):
-            assert len(ejected) <= len(staying) / 2
+        if not self.announced_drain and len(not_draining) == len(self.group):
+            assert len(ejected) <= len(not_draining) / 2
 
 
-test_group = GroupMachine.TestCase
+test_drains_and_ejections_hold_in_any_sequence = GroupMachine.TestCase
--- a/wigeonrouter/health/_vm_list.py
+++ b/wigeonrouter/health/_vm_list.py
@@ -1,6 +1,6 @@
 """Derives drain states of backend servers from the platform's VM list.
 
-The list is stale at times: it may show a VM as live after the VM has gone,
+The list is stale at times: it may show a VM as live after its removal,
 but a VM that it shows as leaving is leaving. So "leaving" always drains the
 servers of a VM, while "live" only ends a drain that the list itself caused.
 """
@@ -73,5 +73,5 @@
 
 def _addresses(vm_address, addresses_by_host):
     host, _, port = vm_address.partition(":")
-    found = addresses_by_host.get(host, set())
-    return found & {vm_address} if port else found
+    addresses = addresses_by_host.get(host, set())
+    return addresses & {vm_address} if port else addresses
--- a/wigeonrouter/health/_vm_list_test.py
+++ b/wigeonrouter/health/_vm_list_test.py
@@ -64,12 +64,12 @@
 def test_vm_list_is_trusted_only_for_leaving_vms(
     address, state, known, expected
 ):
-    found = _vm_list.state_changes(
+    changes = _vm_list.state_changes(
         listing=_listing(address, state),
         addresses_by_host=_BY_HOST,
         known=known,
     )
-    assert [(s.address, s.state) for s in found] == expected
+    assert [(change.address, change.state) for change in changes] == expected
 
 
 def test_servers_are_grouped_by_host():
