--- a/wigeonrouter/http1/_chunks.py
+++ b/wigeonrouter/http1/_chunks.py
@@ -61,8 +61,8 @@
 
     def _read_size(self):
         end = self._buffer.find(b"\r\n", self._position)
-        waiting = len(self._buffer) - self._position
-        if end < 0 and waiting <= _MAX_SIZE_LINE_BYTES:
+        unread_bytes = len(self._buffer) - self._position
+        if end < 0 and unread_bytes <= _MAX_SIZE_LINE_BYTES:
             return False
         line = self._buffer[self._position : end]
         if end < 0 or not _SIZE_LINE.fullmatch(line):
--- a/wigeonrouter/http1/_pool.py
+++ b/wigeonrouter/http1/_pool.py
@@ -84,13 +84,13 @@
 class _ServerPool:
     """Connection permits and idle connections of one backend server."""
 
-    __slots__ = ("idle", "in_use", "limit", "waiting")
+    __slots__ = ("idle", "in_use", "limit", "waiters")
 
     def __init__(self):
         self.idle = []
         self.in_use = 0
         self.limit = 0
-        self.waiting = collections.deque()
+        self.waiters = collections.deque()
 
     def acquire(self, limit, timeout):
         """Take a permit; return False after a timeout in seconds.
@@ -98,11 +98,11 @@
         Waiting tasks get permits in the order of their arrival.
         """
         self.limit = limit
-        if self.in_use < limit and not self.waiting:
+        if self.in_use < limit and not self.waiters:
             self.in_use += 1
             return True
         waiter = event.AsyncResult()
-        self.waiting.append(waiter)
+        self.waiters.append(waiter)
         try:
             waiter.get(timeout=timeout)
         except gevent.Timeout:
@@ -113,15 +113,15 @@
             raise
         finally:
             if not waiter.ready():
-                self.waiting.remove(waiter)
+                self.waiters.remove(waiter)
         return True
 
     def release(self):
         """Return a permit; the longest waiting task gets it, if any."""
         self.in_use -= 1
-        while self.waiting and self.in_use < self.limit:
+        while self.waiters and self.in_use < self.limit:
             self.in_use += 1
-            self.waiting.popleft().set()
+            self.waiters.popleft().set()
 
 
 class ConnectionPool:
@@ -195,14 +195,14 @@
         """Close connections over the idle limit; drop empty server pools."""
         now = self._clock()
         for address, pool in list(self._pools.items()):
-            kept = []
+            usable = []
             for connection in pool.idle:
                 if now - connection.idle_since > self._max_idle:
                     connection.close()
                 else:
-                    kept.append(connection)
-            pool.idle = kept
-            if not (kept or pool.in_use or pool.waiting):
+                    usable.append(connection)
+            pool.idle = usable
+            if not (usable or pool.in_use or pool.waiters):
                 del self._pools[address]
 
     def _connect(self, address, now, deadline):
--- a/wigeonrouter/http1/_readers_fuzz_test.py
+++ b/wigeonrouter/http1/_readers_fuzz_test.py
@@ -1,7 +1,8 @@
 """Fuzz tests of the readers with split and corrupted messages.
 
-Requests and response bodies are compared with those of a simple reference
-parser that works on the complete input.
+Guards against request smuggling and against truncated or corrupt responses
+that are accepted. Requests and response bodies are compared with those of a
+simple reference parser that works on the complete input.
 """
 
 import random
@@ -131,12 +132,12 @@
     read = []
     while data:
         head, separator, rest = data.partition(b"\r\n\r\n")
-        found = _reference_body(head, rest) if separator else None
+        body_and_rest = _reference_body(head, rest) if separator else None
         words = head.split(b"\r\n")[0].split(b" ")
-        if found is None or len(words) != 3:
+        if body_and_rest is None or len(words) != 3:
             return [*read, None]
-        read.append((words[0], words[1], found[0]))
-        data = found[1]
+        read.append((words[0], words[1], body_and_rest[0]))
+        data = body_and_rest[1]
     return read
 
 
@@ -164,7 +165,7 @@
     assert _read_response([wire[:cut]]) is None
 
 
-_SEEDS = (
+_REQUEST_SEEDS = (
     b"POST /r HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\nabcde"
     b"GET /n HTTP/1.1\r\nHost: a\r\n\r\n",
     b"POST /r HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -203,7 +204,7 @@
     return _split(data, [rng.randint(1, 20) for _ in range(len(data) // 5)])
 
 
-@pytest.mark.parametrize("seed", _SEEDS)
+@pytest.mark.parametrize("seed", _REQUEST_SEEDS)
 def test_corrupt_requests_are_read_like_the_reference_or_rejected(seed):
     """Request smuggling needs parsers that read the same bytes differently."""
     rng, accepted = random.Random(_FUZZ_SEED), 0
--- a/wigeonrouter/http1/_server.py
+++ b/wigeonrouter/http1/_server.py
@@ -38,7 +38,7 @@
         self._max_connections = max_connections
         self._draining = False
         self._connections = set()
-        # Connections that wait for bytes, in the order of their start.
+        # Connections that wait for bytes, the longest waiting first.
         self._waiting = collections.OrderedDict()
         self._pauses = _pauses.PauseDetector()
         self._expiry_task = None
--- a/wigeonrouter/request_path/_deduplicator.py
+++ b/wigeonrouter/request_path/_deduplicator.py
@@ -11,7 +11,17 @@
 
 
 class Deduplicator:
-    """Checks request ids; owns the request id table of this daemon."""
+    """Checks request ids; owns the request id table of this daemon.
+
+    Args:
+      own_member: function that returns the core.Member of this daemon.
+      claim_from_peer: function from a RequestId and its text to the
+        peer_pb2.ClaimReply of the daemon that it names, or None without a
+        reply; may block.
+      clock: monotonic clock, seconds.
+      wall_clock: Unix time, seconds.
+      max_ids: largest number of ids in the table.
+    """
 
     def __init__(
         self,
--- a/wigeonrouter/request_path/_deduplicator_test.py
+++ b/wigeonrouter/request_path/_deduplicator_test.py
@@ -1,4 +1,4 @@
-"""Guards at-most-once execution of duplicates at several daemons."""
+"""Guards against duplicates that run twice through different daemons."""
 
 import time
 import types
@@ -154,7 +154,9 @@
 
 
 @pytest.mark.parametrize("outcome", core.Outcome)
-def test_duplicate_at_a_third_daemon_after_a_claim(cluster, outcome):
+def test_duplicate_at_a_third_daemon_is_refused_after_a_claim(
+    cluster, outcome
+):
     request_id = cluster.mint(0, "n")
     assert cluster.deduplicators[1].begin(request_id) is None
     cluster.deduplicators[1].finish(request_id, outcome)
@@ -175,7 +177,7 @@
         ("begin", "duplicate-in-progress"),
     ],
 )
-def test_reasons_for_refusing_a_duplicate_at_another_daemon(
+def test_refused_duplicate_at_another_daemon_names_the_reason(
     cluster, change, problem
 ):
     request_id = cluster.mint(0, "n")
--- a/wigeonrouter/request_path/_forwarder_test.py
+++ b/wigeonrouter/request_path/_forwarder_test.py
@@ -1,4 +1,4 @@
-"""Guards at-most-once execution, response integrity and resource release.
+"""Guards against writes that run twice, corrupt responses and leaks.
 
 The backend servers are stand-ins with faults.
 """
@@ -21,13 +21,13 @@
 # Responses that are not one complete response to the request.
 _INVALID_RESPONSES = {
     "truncated": {"raw": _OK + "\r\nab", "close": True},
-    "no answer": {"raw": " ", "close": True},
+    "no response": {"raw": " ", "close": True},
     "garbled": {"raw": "\x00\x01\r\n\r\n", "close": True},
     "too large": {"raw": "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n"},
     "large chunks": {
         "raw": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nffff\r\n"
     },
-    "cut chunk": {
+    "truncated chunk": {
         "raw": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nab",
         "close": True,
     },
@@ -100,7 +100,7 @@
         (_OK + "Connection: close\r\n\r\nabcd", "GET", 200, b"abcd"),
     ],
 )
-def test_interim_responses_and_responses_without_body(
+def test_interim_and_bodiless_responses_are_delimited_correctly(
     path, raw, method, status, body
 ):
     path.set_faults({"raw": raw}, {"raw": raw})
--- a/wigeonrouter/request_path/_handler.py
+++ b/wigeonrouter/request_path/_handler.py
@@ -40,7 +40,21 @@
 
 
 class RequestHandler:
-    """Owns the dispatchers, the connection pool and the deduplicator."""
+    """Owns the dispatchers, the connection pool and the deduplicator.
+
+    Args:
+      place: core.Place of this daemon.
+      own_member: function that returns the core.Member of this daemon.
+      claim_from_peer: function that claims a request id from the daemon that
+        it names; see Deduplicator.
+      observe: function that is called with the RequestRecord of each finished
+        request.
+      announce: function that is called with a core.Address and True or False
+        when that backend server announces a drain or has ended it.
+      rng: random.Random, or None for a new one.
+      clock: monotonic clock, seconds.
+      wall_clock: Unix time, seconds.
+    """
 
     def __init__(
         self,
--- a/wigeonrouter/request_path/_hedging_test.py
+++ b/wigeonrouter/request_path/_hedging_test.py
@@ -1,4 +1,4 @@
-"""Guards hedging: reads only, within the retry budget, without leaks."""
+"""Guards against hedged writes, excessive hedges and leaked slots."""
 
 import gevent
 import pytest
--- a/wigeonrouter/request_path/_request_ids.py
+++ b/wigeonrouter/request_path/_request_ids.py
@@ -27,7 +27,8 @@
 
     Attributes:
       daemon_id: id of the daemon that owns the request id.
-      instance: number of that daemon's process.
+      instance: start time of that daemon's process, milliseconds since the
+        epoch.
       time_ms: Unix time of creation by the caller's clock, milliseconds.
     """
 
@@ -76,7 +77,7 @@
       time_ms: Unix time in the id, milliseconds.
       now: Unix time, seconds.
     Returns:
-      None if the id is in the table in case it was ever recorded.
+      None if the table still holds the id, should it have been recorded.
     """
     age = now - time_ms / 1000
     if age > RETENTION_S - CLOCK_TOLERANCE_S:
@@ -123,8 +124,8 @@
     def find_failure(self, request_id):
         """Return the core.Problem for a recorded id, or None."""
         self._expire()
-        known = self._entries.get(request_id)
-        return failure_for_state(known.state) if known else None
+        entry = self._entries.get(request_id)
+        return failure_for_state(entry.state) if entry else None
 
     def begin(self, request_id):
         """Record an id before its request is forwarded.
@@ -182,10 +183,10 @@
 
     def _expire(self):
         now = self._clock()
-        oldest_kept = now - self._retention - CLOCK_TOLERANCE_S
+        oldest_retained = now - self._retention - CLOCK_TOLERANCE_S
         while self._entries:
             request_id, entry = next(iter(self._entries.items()))
-            if entry.started >= oldest_kept:
+            if entry.started >= oldest_retained:
                 return
             del self._entries[request_id]
             if entry.state == IN_PROGRESS:
--- a/wigeonrouter/request_path/_server_stop_test.py
+++ b/wigeonrouter/request_path/_server_stop_test.py
@@ -1,4 +1,4 @@
-"""Guards requests that arrive while the caller server is stopping."""
+"""Guards against requests lost while the caller server is stopping."""
 
 import gevent
 from gevent import socket
--- a/wigeonrouter/request_path/_server_test.py
+++ b/wigeonrouter/request_path/_server_test.py
@@ -1,4 +1,4 @@
-"""Guards the caller server: limits, invalid requests, slow or idle callers."""
+"""Guards against ambiguous requests and callers that hold connections."""
 
 import time
 
@@ -85,7 +85,9 @@
         ("http://u@/r", "a", 400),
     ],
 )
-def test_forms_of_request_targets(path, target, host, status):
+def test_only_unambiguous_request_targets_are_accepted(
+    path, target, host, status
+):
     data = f"GET {target} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode()
     assert _send_raw(path, data).status == status
 
