--- a/wigeonrouter/configuration/_replica_test.py
+++ b/wigeonrouter/configuration/_replica_test.py
@@ -33,23 +33,23 @@
 
 @pytest.mark.parametrize("by_snapshot", [False, True])
 def test_readers_get_one_revision_while_services_are_built(by_snapshot):
-    seen = []
+    observed = []
 
     def pause():
-        seen.append((replica.revision, _queues(replica)))
+        observed.append((replica.revision, _queues(replica)))
         gevent.sleep(0)
 
     replica = configuration.Replica(pause=pause)
     replica.apply_entries([_entry(1, 0)])
     replica.apply_entries([_entry(2, 20)])
-    seen.clear()
+    observed.clear()
     if by_snapshot:
         other = configuration.Replica()
         other.apply_entries([_entry(1, 0), _entry(2, 20), _entry(3, 30)])
         replica.load_snapshot(other.snapshot())
     else:
         replica.apply_entries([_entry(3, 30)])
-    assert seen == [(2, {20})] * 5
+    assert observed == [(2, {20})] * 5
     assert (replica.revision, _queues(replica)) == (3, {30})
 
 
--- a/wigeonrouter/configuration/_retained.py
+++ b/wigeonrouter/configuration/_retained.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Retained:
+class _RetainedEntry:
     """An entry, the changes that undo it, and the size of both in bytes."""
 
     entry: settings_pb2.LogEntry
@@ -61,7 +61,7 @@
         byte_count = entry.ByteSize() + sum(
             change.ByteSize() for change in undo
         )
-        self._entries[entry.revision] = _Retained(
+        self._entries[entry.revision] = _RetainedEntry(
             entry=entry, undo=tuple(undo), byte_count=byte_count
         )
         self._total_bytes += byte_count
@@ -117,7 +117,7 @@
         """Return a copy of the tree at an older revision.
 
         Args:
-          revision: the wanted revision.
+          revision: the revision to restore.
           root: settings_pb2.Node, the tree at the newest revision.
           newest: the newest revision.
         Returns:
--- a/wigeonrouter/membership/_dissemination.py
+++ b/wigeonrouter/membership/_dissemination.py
@@ -222,14 +222,14 @@
             peer.place.region != own.place.region,
         )
     )
-    first_of_domain, same_domain, seen_places = [], [], set()
+    first_of_domain, others_of_domain, seen_places = [], [], set()
     for peer in in_other_domains:
         if peer.place in seen_places:
-            same_domain.append(peer)
+            others_of_domain.append(peer)
         else:
             seen_places.add(peer.place)
             first_of_domain.append(peer)
-    ordered = first_of_domain + same_domain
+    ordered = first_of_domain + others_of_domain
     if len(ordered) < ACKNOWLEDGEMENTS:
         ordered += [peer for peer in peers if peer.place == own.place]
     return ordered
--- a/wigeonrouter/membership/_gossip.py
+++ b/wigeonrouter/membership/_gossip.py
@@ -39,6 +39,16 @@
     """The peer service and the tasks that exchange state with peers.
 
     Owns the member table, the facts and the peer channels.
+
+    Args:
+      own: core.Member, the record of this daemon.
+      seeds: peer addresses, core.Address, to join through.
+      replica: configuration.Replica.
+      rng: random.Random.
+      claim_handler: function from a peer_pb2.ClaimRequest to its ClaimReply.
+      tls: PeerTls, or None for unencrypted connections.
+      clock: monotonic clock, seconds.
+      wall_clock: Unix time, seconds.
     """
 
     def __init__(
@@ -85,9 +95,9 @@
         self._claimant = f"{own.daemon_id}~{own.instance}"
         self._pause_listeners = []
         self._rounds = 0
-        self._last_full_exchange = self._last_fact_repair = self._last_seed = (
-            0.0
-        )
+        self._last_full_exchange = self._last_fact_repair = (
+            self._last_seed_exchange
+        ) = 0.0
         self._tasks = []
 
     @property
@@ -350,9 +360,9 @@
 
     def _exchange_with_seed(self, now):
         """Contact a seed that is not a known member, to heal partitions."""
-        if now - self._last_seed < _schedule.DEAD_RETRY_INTERVAL_S:
+        if now - self._last_seed_exchange < _schedule.DEAD_RETRY_INTERVAL_S:
             return
-        self._last_seed = now
+        self._last_seed_exchange = now
         unknown = self._unknown_seeds()
         if unknown:
             self._exchanges.exchange_address(
@@ -399,7 +409,7 @@
             self._exchanges.repair_facts(peer.peer_address, rounds=1)
 
     def _probe_indirectly(self, peer):
-        """Suspect a peer unless a helper reaches it."""
+        """Suspect a peer unless another member reaches it."""
         request = peer_pb2.ProbeForRequest(
             target_address=str(peer.peer_address), target_id=peer.daemon_id
         )
@@ -407,11 +417,11 @@
             gevent.spawn(
                 self._client.call,
                 "ProbeFor",
-                helper.peer_address,
+                prober.peer_address,
                 request,
                 timeout=2 * _client.CALL_TIMEOUT_S,
             )
-            for helper in self._schedule.indirect_probers(peer.daemon_id)
+            for prober in self._schedule.indirect_probers(peer.daemon_id)
         ]
         gevent.joinall(probes)
         if not any(probe.value and probe.value.reached for probe in probes):
--- a/wigeonrouter/membership/_gossip_test.py
+++ b/wigeonrouter/membership/_gossip_test.py
@@ -182,14 +182,14 @@
     fleet[0].gossip.assert_fact(
         address=address, state="draining", source="vm-list"
     )
-    wanted = {("operator", "ready"), ("vm-list", "draining")}
+    expected = {("operator", "ready"), ("vm-list", "draining")}
     _nodes.wait_for(
         lambda: all(
-            {(f.source, f.state) for f in n.gossip.facts} == wanted
+            {(f.source, f.state) for f in n.gossip.facts} == expected
             for n in fleet
         )
     )
-    assert {(f.source, f.state) for f in received[-1]} == wanted
+    assert {(f.source, f.state) for f in received[-1]} == expected
 
 
 def test_a_joining_daemon_gets_all_facts(nodes):
--- a/wigeonrouter/membership/_replication.py
+++ b/wigeonrouter/membership/_replication.py
@@ -33,7 +33,17 @@
 
 
 class Replication:
-    """Owns the tasks that replicate the configuration of one daemon."""
+    """Owns the tasks that replicate the configuration of one daemon.
+
+    Args:
+      store: store.Store.
+      replica: configuration.Replica.
+      gossip: Gossip.
+      seeds: configured peer addresses, core.Address.
+      rng: random.Random.
+      policies: names of the known policies, or None to accept any.
+      on_ready: function that is called once the configuration is current.
+    """
 
     def __init__(
         self,
--- a/wigeonrouter/membership/_schedule.py
+++ b/wigeonrouter/membership/_schedule.py
@@ -20,10 +20,10 @@
     def __init__(self, *, table, rng):
         self._table = table
         self._rng = rng
-        self._peer_rounds = {True: [], False: []}
+        self._unvisited_peer_ids = {True: [], False: []}
         self._exchange_count = 0
         self._last_dead_retry = 0.0
-        self._dead_round = []
+        self._unvisited_dead_ids = []
 
     def next_peer(self):
         """Return the member for the next exchange, or None without peers."""
@@ -46,10 +46,10 @@
             return None
         self._last_dead_retry = now
         while True:
-            if not self._dead_round:
-                self._dead_round = list(dead)
-                self._rng.shuffle(self._dead_round)
-            peer_id = self._dead_round.pop()
+            if not self._unvisited_dead_ids:
+                self._unvisited_dead_ids = list(dead)
+                self._rng.shuffle(self._unvisited_dead_ids)
+            peer_id = self._unvisited_dead_ids.pop()
             if peer_id in dead:
                 return dead[peer_id]
 
@@ -102,10 +102,10 @@
         if not current:
             return None
         while True:
-            if not self._peer_rounds[local]:
-                self._peer_rounds[local] = list(current)
-                self._rng.shuffle(self._peer_rounds[local])
-            peer_id = self._peer_rounds[local].pop()
+            if not self._unvisited_peer_ids[local]:
+                self._unvisited_peer_ids[local] = list(current)
+                self._rng.shuffle(self._unvisited_peer_ids[local])
+            peer_id = self._unvisited_peer_ids[local].pop()
             if peer_id in current:
                 return current[peer_id]
 
--- a/wigeonrouter/membership/_table_test.py
+++ b/wigeonrouter/membership/_table_test.py
@@ -62,8 +62,8 @@
 def test_the_newer_record_wins(known, received, after):
     table = _table_with(member(1, state=known[0], incarnation=known[1]))
     table.merge(member(1, state=received[0], incarnation=received[1]), now=0.0)
-    found = table.find("d1")
-    assert (found.state, found.incarnation) == after
+    record = table.find("d1")
+    assert (record.state, record.incarnation) == after
 
 
 @pytest.mark.parametrize("state", [_STATES.SUSPECT, _STATES.DEAD])
--- a/wigeonrouter/membership/_tls_test.py
+++ b/wigeonrouter/membership/_tls_test.py
@@ -1,4 +1,4 @@
-"""Tests of the peer port's authentication and of certificate rotation."""
+"""Guards against unauthenticated peers and failed certificate rotation."""
 
 import grpc
 import pytest
--- a/wigeonrouter/membership/_transport.py
+++ b/wigeonrouter/membership/_transport.py
@@ -136,9 +136,9 @@
 
     def keep_only(self, addresses):
         """Close the channels to all other addresses."""
-        kept = {str(address) for address in addresses}
+        keys_to_keep = {str(address) for address in addresses}
         for key in list(self._channels):
-            if key not in kept:
+            if key not in keys_to_keep:
                 self.discard(key)
 
     def discard(self, address):
