--- a/wigeonrouter/administration/_access.py
+++ b/wigeonrouter/administration/_access.py
@@ -148,7 +148,7 @@
       path: path of the node.
       identity: the Identity that reads the settings.
     """
-    if not identity.may(role=_auth.Role.ADMIN, path=path):
+    if not identity.has_role(role=_auth.Role.ADMIN, path=path):
         message.ClearField("access")
 
 
--- a/wigeonrouter/administration/_access_test.py
+++ b/wigeonrouter/administration/_access_test.py
@@ -43,14 +43,14 @@
 
 def _nodes(root):
     """Return a dict from path to the settings of each node."""
-    found, pending = {}, [("/", root)]
+    settings_by_path, pending = {}, [("/", root)]
     while pending:
         path, node = pending.pop()
-        found[path] = node.settings
+        settings_by_path[path] = node.settings
         for name, child in node.children.items():
             names = (*settings.split_path(path), name)
             pending.append((settings.join_path(names), child))
-    return found
+    return settings_by_path
 
 
 @given(
--- a/wigeonrouter/administration/_app.py
+++ b/wigeonrouter/administration/_app.py
@@ -10,7 +10,7 @@
 from wigeonrouter.administration import _problems
 from wigeonrouter.administration import _read  # noqa: F401  registers actions
 from wigeonrouter.administration import _registry
-from wigeonrouter.administration import _write  # noqa: F401  the same
+from wigeonrouter.administration import _write  # noqa: F401  registers actions
 
 _LOG = logbook.Logger(__name__)
 _PROBLEMS_BY_STATUS = {
--- a/wigeonrouter/administration/_app_test.py
+++ b/wigeonrouter/administration/_app_test.py
@@ -92,13 +92,13 @@
     for target in targets:
         for token in ("a-reader", "a-operator"):
             params = {"from": 0} if target == "config/diff" else {}
-            reply = client.send(
+            response = client.send(
                 "GET", f"/v1/{target}", token=token, path="/a", **params
             )
-            assert reply.status_code == 200
-            assert administration.hash_token("a-admin") not in reply.text
-    reply = client.send("GET", "/v1/config", token="a-admin", path="/a")
-    assert administration.hash_token("a-operator") in reply.text
+            assert response.status_code == 200
+            assert administration.hash_token("a-admin") not in response.text
+    response = client.send("GET", "/v1/config", token="a-admin", path="/a")
+    assert administration.hash_token("a-operator") in response.text
 
 
 def test_writing_back_an_unmodified_node_changes_nothing(client):
@@ -233,20 +233,20 @@
 
 def test_diff_and_rollback_between_retained_revisions(client):
     client.put("/a/x", _LIMIT)
-    reply = client.send(
+    response = client.send(
         "GET", "/v1/config/diff", path="/a/x", **{"from": 1, "to": 2}
     )
-    fields = {d["field"]: d for d in reply.json["differences"]}
+    fields = {d["field"]: d for d in response.json["differences"]}
     assert fields["limits.max_queue"]["before"] is None
     assert fields["limits.max_queue"]["after"] == 3
     rolled_back = client.send(
         "POST", "/v1/config/rollback", path="/a/x", revision=1
     )
     assert rolled_back.json["revision"] == 3
-    reply = client.send(
+    response = client.send(
         "GET", "/v1/config/diff", path="/", **{"from": 1, "to": 3}
     )
-    assert reply.json["differences"] == []
+    assert response.json["differences"] == []
     for revision in (4, 2**62):
         denied = client.send(
             "POST", "/v1/config/rollback", path="/", revision=revision
@@ -256,10 +256,10 @@
 
 def test_effective_settings_name_the_origin(client):
     client.put("/", {"limits": {"max_queue": 9}}, only="settings")
-    reply = client.send("GET", "/v1/config/effective", path="/a/x").json
-    assert reply["settings"]["limits"]["max_queue"] == 9
-    assert reply["origins"]["limits.max_queue"] == "/"
-    assert reply["origins"]["match.path_prefixes"] == "/a/x"
+    response = client.send("GET", "/v1/config/effective", path="/a/x").json
+    assert response["settings"]["limits"]["max_queue"] == 9
+    assert response["origins"]["limits.max_queue"] == "/"
+    assert response["origins"]["match.path_prefixes"] == "/a/x"
 
 
 def test_drain_needs_no_store_but_a_right_at_each_service(
@@ -272,8 +272,8 @@
     assert conftest.problem_name(denied) == "forbidden"
     unknown = client.send("POST", target, address="127.0.0.1:9")
     assert conftest.problem_name(unknown) == "no-backend-server"
-    reply = client.send("POST", target, token="a-operator", address=address)
-    assert reply.json["services"] == ["/a/x"]
+    response = client.send("POST", target, token="a-operator", address=address)
+    assert response.json["services"] == ["/a/x"]
     assert client.daemon.drained == [(address, True, "/a#operator")]
 
 
@@ -283,13 +283,13 @@
         bootstrap_token_sha256=administration.hash_token("new-root"),
     )
     assert client.send("GET", "/v1/config", token="root").status_code == 401
-    reply = client.send("GET", "/v1/config", token="new-root")
-    assert reply.status_code == 200
+    response = client.send("GET", "/v1/config", token="new-root")
+    assert response.status_code == 200
 
 
 def test_status_shows_the_traffic_of_readable_services_only(client):
-    reply = client.send("GET", "/v1/status", token="a-reader")
-    assert [row["service"] for row in reply.json["requests"]] == ["/a/x"]
+    response = client.send("GET", "/v1/status", token="a-reader")
+    assert [row["service"] for row in response.json["requests"]] == ["/a/x"]
 
 
 def test_only_one_of_two_concurrent_changes_is_accepted(client):
--- a/wigeonrouter/administration/_auth.py
+++ b/wigeonrouter/administration/_auth.py
@@ -28,7 +28,7 @@
     name: str
     rights: tuple[tuple[str, Role], ...]
 
-    def may(self, *, role, path):
+    def has_role(self, *, role, path):
         """Return whether the identity has a role at a path."""
         names = settings.split_path(path)
         for right_path, right_role in self.rights:
--- a/wigeonrouter/administration/_diff.py
+++ b/wigeonrouter/administration/_diff.py
@@ -41,8 +41,8 @@
       A tuple of at most MAX_DIFFERENCES + 1 Difference, ordered by path. The
       additional one shows that there are more than MAX_DIFFERENCES.
     """
-    found = _compare_trees(before, after, settings.split_path(path))
-    return tuple(itertools.islice(found, MAX_DIFFERENCES + 1))
+    differences = _compare_trees(before, after, settings.split_path(path))
+    return tuple(itertools.islice(differences, MAX_DIFFERENCES + 1))
 
 
 def _compare_trees(before, after, names):
--- a/wigeonrouter/administration/_entries.py
+++ b/wigeonrouter/administration/_entries.py
@@ -44,7 +44,7 @@
 
     def __init__(self, *, daemon):
         self._daemon = daemon
-        self._planner = entries.EntryRankingCache()
+        self._ranking_cache = entries.EntryRankingCache()
 
     def on_get(self, req, resp):
         if not self._daemon.configured:
@@ -72,7 +72,7 @@
                 "failure_domain", default=own.failure_domain
             ),
         )
-        chosen = self._planner.choose(
+        chosen = self._ranking_cache.choose(
             service=service,
             place=place,
             members=self._daemon.table.alive,
--- a/wigeonrouter/administration/_problems_test.py
+++ b/wigeonrouter/administration/_problems_test.py
@@ -30,7 +30,7 @@
     }
 
 
-def test_a_name_has_one_status():
+def test_a_problem_name_has_one_status():
     statuses = {}
     for problem in (
         *administration.problems.ALL,
--- a/wigeonrouter/administration/_read.py
+++ b/wigeonrouter/administration/_read.py
@@ -60,10 +60,10 @@
         return authorized
     nodes = []
     for revision in revisions:
-        found = find_node_at_revision(call, path, revision)
-        if not pipeline.is_successful(found):
-            return found
-        nodes.append(found.unwrap())
+        retrieved = find_node_at_revision(call, path, revision)
+        if not pipeline.is_successful(retrieved):
+            return retrieved
+        nodes.append(retrieved.unwrap())
     return result.Success(_render_diff(call, path, *nodes))
 
 
@@ -117,7 +117,9 @@
             "requests": [
                 row
                 for row in daemon.metrics.summary()
-                if call.identity.may(role=_READER, path=row["service"] or "/")
+                if call.identity.has_role(
+                    role=_READER, path=row["service"] or "/"
+                )
             ],
         }
     )
@@ -224,15 +226,17 @@
         and _access.redact_node(node=node, path=path, identity=call.identity)
         for node in (before, after)
     ]
-    found = _diff.compare_nodes(before=nodes[0], after=nodes[1], path=path)
+    differences = _diff.compare_nodes(
+        before=nodes[0], after=nodes[1], path=path
+    )
     return {
         "path": path,
         "revision": call.context.replica.revision,
         "differences": [
             dataclasses.asdict(difference)
-            for difference in found[: _diff.MAX_DIFFERENCES]
+            for difference in differences[: _diff.MAX_DIFFERENCES]
         ],
-        "truncated": len(found) > _diff.MAX_DIFFERENCES,
+        "truncated": len(differences) > _diff.MAX_DIFFERENCES,
     }
 
 
--- a/wigeonrouter/administration/_registry.py
+++ b/wigeonrouter/administration/_registry.py
@@ -14,8 +14,8 @@
 from wigeonrouter.administration import _problems
 
 _NODE_NAME = re.compile(r"[a-z0-9][a-z0-9-]{0,62}")
-# Longest time for which a computation delays other tasks, plus the time for
-# one node of the tree.
+# A computation delays other tasks for at most this time, plus the time for one
+# node of the tree.
 MAX_TIME_SLICE_S = 0.001
 _ACTIONS = {}
 
@@ -136,7 +136,7 @@
           right.
         """
         for role, path in required_rights:
-            if not self.identity.may(role=role, path=path):
+            if not self.identity.has_role(role=role, path=path):
                 return result.Failure(
                     _problems.Problem(
                         problem=_problems.FORBIDDEN,
--- a/wigeonrouter/administration/_write.py
+++ b/wigeonrouter/administration/_write.py
@@ -85,10 +85,10 @@
     authorized = call.authorize([(_OPERATOR, path)])
     if not pipeline.is_successful(authorized):
         return authorized
-    found = _read.find_node_at_revision(call, path, revision)
-    if not pipeline.is_successful(found):
-        return found
-    node = found.unwrap()
+    retrieved = _read.find_node_at_revision(call, path, revision)
+    if not pipeline.is_successful(retrieved):
+        return retrieved
+    node = retrieved.unwrap()
     change = settings_pb2.Change(path=path)
     if node is None:
         change.remove = True
--- a/wigeonrouter/administration/conftest.py
+++ b/wigeonrouter/administration/conftest.py
@@ -15,7 +15,7 @@
 from wigeonrouter.schema import settings_pb2
 
 TOKENS = ("root", "a-reader", "a-operator", "a-admin", "b-admin")
-_TYPES = {
+_PROBLEMS_BY_URN = {
     f"urn:wigeonrouter:problem:{problem.name}": problem
     for problem in administration.problems.ALL
 }
@@ -126,7 +126,7 @@
 def problem_name(response):
     """Check the problem details of a response; return the type's name."""
     assert response.headers["content-type"] == "application/problem+json"
-    problem = _TYPES[response.json["type"]]
+    problem = _PROBLEMS_BY_URN[response.json["type"]]
     assert response.json["status"] == response.status_code == problem.status
     assert response.json["title"] == problem.title
     assert response.json["detail"]
--- a/wigeonrouter/cli/_client.py
+++ b/wigeonrouter/cli/_client.py
@@ -38,7 +38,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Refused:
+class ProblemResponse:
     """A server responded with problem details.
 
     Attributes:
@@ -77,21 +77,23 @@
           body: JSON document as bytes, sent as POST; GET if None.
           params: query parameters; those that are None are left out.
         Returns:
-          Success(dict), or Failure(Unreachable or Refused).
+          Success(dict), or Failure(Unreachable or ProblemResponse).
         """
         method = "GET" if body is None else "POST"
-        attempts, refused = [], None
+        attempts, problem_response = [], None
         for server in self.servers:
             outcome = self._send(server, method, target, params, body)
             if isinstance(outcome, dict):
                 return result.Success(outcome)
-            if isinstance(outcome, Refused):
+            if isinstance(outcome, ProblemResponse):
                 if outcome.status < 500:
                     return result.Failure(outcome)
-                refused = outcome
+                problem_response = outcome
             else:
                 attempts.append((server, outcome.detail))
-        return result.Failure(refused or Unreachable(attempts=tuple(attempts)))
+        return result.Failure(
+            problem_response or Unreachable(attempts=tuple(attempts))
+        )
 
     def write(self, method, target, *, body=None, **params):
         """Send a request that changes state, at most once.
@@ -102,7 +104,8 @@
           body: JSON document as bytes, or None.
           params: query parameters; those that are None are left out.
         Returns:
-          Success(dict), or Failure(Unreachable, Refused or ReplyLost).
+          Success(dict), or Failure of Unreachable, ProblemResponse or
+          ReplyLost.
         """
         attempts = []
         for server in self.servers:
@@ -118,7 +121,8 @@
         """Send a request to one server.
 
         Returns:
-          The decoded response as a dict, Refused, ReplyLost or _NotSent.
+          The decoded response as a dict, ProblemResponse, ReplyLost or
+          _NotSent.
         """
         host, _, port = server.rpartition(":")
         connection = http.client.HTTPConnection(
@@ -150,7 +154,9 @@
             return ReplyLost(server=server, detail="no JSON object received")
         if response.status == 200:
             return media
-        return Refused(server=server, status=response.status, problem=media)
+        return ProblemResponse(
+            server=server, status=response.status, problem=media
+        )
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
--- a/wigeonrouter/cli/_explain.py
+++ b/wigeonrouter/cli/_explain.py
@@ -54,19 +54,19 @@
     )
 
 
-def render(found):
+def render(search_result):
     """Return a list of lines that describe the events to an operator.
 
     Each line starts with the time since the first event, in milliseconds.
 
     Args:
-      found: SearchResult with at least one event.
+      search_result: SearchResult with at least one event.
     """
-    first = found.events[0].get("time", 0.0)
+    first = search_result.events[0].get("time", 0.0)
     return [
         f"{(event.get('time', 0.0) - first) * 1000:9.1f} ms  "
         + _DESCRIPTIONS.get(event.get("event"), _describe_other)(event)
-        for event in found.events
+        for event in search_result.events
     ]
 
 
@@ -104,7 +104,7 @@
 
 
 def _describe_disconnect(event):
-    return f"the caller left after {event.get('took_ms')} ms"
+    return f"the caller disconnected after {event.get('took_ms')} ms"
 
 
 def _describe_other(event):
--- a/wigeonrouter/cli/_output.py
+++ b/wigeonrouter/cli/_output.py
@@ -38,7 +38,7 @@
 }
 
 
-def print_reply(media, *, as_json, render):
+def print_response(media, *, as_json, render):
     """Print a response.
 
     Args:
@@ -57,11 +57,11 @@
     """Print a failure to standard error and exit with its code.
 
     Args:
-      failure: Unreachable, Refused or ReplyLost of _client.
+      failure: Unreachable, ProblemResponse or ReplyLost of _client.
       as_json: whether to print JSON instead of text.
       change_id: change id of a failed change, or None.
     """
-    if isinstance(failure, _client.Refused):
+    if isinstance(failure, _client.ProblemResponse):
         media = failure.problem
         name = str(media.get("type", "")).rpartition(":")[2]
         code = _EXIT_BY_PROBLEM.get(name, EXIT_REFUSED)
--- a/wigeonrouter/cli/main.py
+++ b/wigeonrouter/cli/main.py
@@ -47,7 +47,7 @@
 
         Args:
           response: Success(dict) or Failure from the client.
-          render: see _output.print_reply.
+          render: see _output.print_response.
           change_id: change id of a change, or None.
         Returns:
           The decoded response, a dict.
@@ -57,7 +57,7 @@
                 response.failure(), as_json=self.as_json, change_id=change_id
             )
         media = response.unwrap()
-        _output.print_reply(media, as_json=self.as_json, render=render)
+        _output.print_response(media, as_json=self.as_json, render=render)
         return media
 
 
@@ -156,7 +156,7 @@
             for error in errors
         ]
         _output.fail_document(_file_name(file), located, as_json=state.as_json)
-    _output.print_reply(
+    _output.print_response(
         {"valid": True},
         as_json=state.as_json,
         render=lambda media: ("valid",),
@@ -335,7 +335,7 @@
     secret = secrets.token_hex(_TOKEN_BYTES)
     digest = administration.hash_token(secret)
     access = {"access": {name: {"sha256": digest, "role": role}}}
-    _output.print_reply(
+    _output.print_response(
         {"token": secret, "sha256": digest, **access},
         as_json=state.as_json,
         render=lambda media: (
@@ -389,15 +389,16 @@
 @click.argument("log", type=click.File(errors="replace"), default="-")
 def explain(request_id, log):
     """Tell what happened to a request, from the LOG of a node (or stdin)."""
-    found = _explain.search(log, request_id)
-    if not found.events:
+    search_result = _explain.search(log, request_id)
+    if not search_result.events:
         click.echo(
-            f"wigeonrouter: no line about {request_id}; {found.malformed}"
-            f" unreadable lines, {found.dropped} were not written",
+            f"wigeonrouter: no line about {request_id}; "
+            f"{search_result.malformed} unreadable lines, "
+            f"{search_result.dropped} were not written",
             err=True,
         )
         raise SystemExit(1)
-    for text in _explain.render(found):
+    for text in _explain.render(search_result):
         click.echo(text)
 
 
--- a/wigeonrouter/daemon/_daemon.py
+++ b/wigeonrouter/daemon/_daemon.py
@@ -26,7 +26,7 @@
 _DRAIN_POLL_INTERVAL_S = 0.05
 # Time for gossip to reach peers that missed the announcement of the shutdown.
 # Until then they still return this daemon to callers.
-_GOSSIP_SPREAD_S = 2.0
+_GOSSIP_CONVERGENCE_S = 2.0
 # If requests still arrive once cached entry responses have expired, shutdown
 # waits until none has arrived for _QUIET_PERIOD_S, but no longer than
 # _MAX_LATE_CALLERS_WAIT_S.
@@ -348,7 +348,9 @@
 
     def _wait_for_late_callers(self):
         """Wait until callers have stopped sending requests."""
-        earliest = time.monotonic() + self._max_entry_ttl + _GOSSIP_SPREAD_S
+        earliest = (
+            time.monotonic() + self._max_entry_ttl + _GOSSIP_CONVERGENCE_S
+        )
         latest = earliest + _MAX_LATE_CALLERS_WAIT_S
         while True:
             now = time.monotonic()
--- a/wigeonrouter/daemon/_daemon_test.py
+++ b/wigeonrouter/daemon/_daemon_test.py
@@ -1,4 +1,7 @@
-"""Graceful shutdown of real daemon processes, with simulated callers."""
+"""Guards against requests lost while daemons start, stop and restart.
+
+The daemons are real processes; the test simulates the callers.
+"""
 
 import contextlib
 import http.client
--- a/wigeonrouter/daemon/_drain_test.py
+++ b/wigeonrouter/daemon/_drain_test.py
@@ -19,13 +19,13 @@
             ),
         )
     )
-    seen = []
+    notified = []
     daemon.gossip.subscribe_facts(
-        lambda facts: seen.append([(f.address, f.state) for f in facts])
+        lambda facts: notified.append([(f.address, f.state) for f in facts])
     )
     server = core.Address(host="127.0.0.1", port=7001)
     daemon.drain_server(address=server, draining=True, author="a")
     daemon.drain_server(address=server, draining=False, author="b")
     # health.DrainTracker passes on the addresses of draining facts.
     address = "127.0.0.1:7001"
-    assert seen == [[(address, "draining")], [(address, "active")]]
+    assert notified == [[(address, "draining")], [(address, "active")]]
--- a/wigeonrouter/daemon/_failures.py
+++ b/wigeonrouter/daemon/_failures.py
@@ -30,7 +30,7 @@
       name: name of the setting that holds the address.
       address: core.Address.
     Raises:
-      StartFailed: the text is not a valid address.
+      StartFailed: the host or the port of the address is not valid.
       CannotListen: the address is in use or not an address of this VM.
     """
     try:
--- a/wigeonrouter/daemon/_reload.py
+++ b/wigeonrouter/daemon/_reload.py
@@ -18,7 +18,9 @@
         "tls_key_file",
     }
 )
-_TLS = frozenset(name for name in RELOADABLE if name.startswith("tls_"))
+_TLS_SETTINGS = frozenset(
+    name for name in RELOADABLE if name.startswith("tls_")
+)
 
 
 def plan_reload(*, current, requested):
@@ -29,7 +31,7 @@
     """
     reloadable = RELOADABLE
     if bool(current.tls_key_file) != bool(requested.tls_key_file):
-        reloadable = reloadable - _TLS
+        reloadable = reloadable - _TLS_SETTINGS
     return core.plan_reload(
         current=current, requested=requested, reloadable=reloadable
     )
--- a/wigeonrouter/daemon/main_test.py
+++ b/wigeonrouter/daemon/main_test.py
@@ -1,4 +1,4 @@
-"""Exit codes and signal handling of the command, with real processes."""
+"""Guards against wrong exit codes and reloads, with real processes."""
 
 import contextlib
 import http.client
@@ -62,11 +62,11 @@
     """Guards against a start with invalid settings, or a traceback."""
     path = tmp_path / "settings.json"
     path.write_text(json.dumps({**_SETTINGS, **changes}))
-    ended = _run(path)
-    assert ended.returncode == 78
-    shown = ended.stderr.splitlines()
-    assert len(shown) == len(lines)
-    for line, part in zip(shown, lines, strict=True):
+    completed = _run(path)
+    assert completed.returncode == 78
+    error_lines = completed.stderr.splitlines()
+    assert len(error_lines) == len(lines)
+    for line, part in zip(error_lines, lines, strict=True):
         assert line.startswith(f"wigeonrouterd: {path}: ") and part in line
 
 
@@ -82,9 +82,9 @@
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind((address.host, address.port))
         listener.listen()
-        ended = _run(path)
-    assert ended.returncode == 69
-    assert ended.stderr.splitlines() == [
+        completed = _run(path)
+    assert completed.returncode == 69
+    assert completed.stderr.splitlines() == [
         f"wigeonrouterd: {path}: cannot listen on {name} {address}: "
         "Address already in use"
     ]
--- a/wigeonrouter/observability/_logs_test.py
+++ b/wigeonrouter/observability/_logs_test.py
@@ -1,4 +1,4 @@
-"""The rate limit on request lines and the escaping of caller values."""
+"""Guards against missing request lines and forged log lines."""
 
 import io
 import json
--- a/wigeonrouter/observability/_metrics.py
+++ b/wigeonrouter/observability/_metrics.py
@@ -18,7 +18,8 @@
 from wigeonrouter import core
 
 # Histograms cover 10 microseconds to 2 minutes with two significant digits
-# and take 19 KB each. Smaller counters of 4 bytes would overflow in weeks.
+# and take 19 KB each. Their counters have 8 bytes, since counters of 4 bytes
+# would overflow within weeks.
 _MIN_LATENCY_US = 10
 _MAX_LATENCY_US = 120_000_000
 _SIGNIFICANT_DIGITS = 2
@@ -38,7 +39,7 @@
 
     Attributes:
       service: path of the service.
-      kind: name of the class of requests.
+      kind: name of the traffic kind.
       problem: name of the problem type, empty if none.
       latency: seconds from the arrival of the request to its response.
     """
@@ -104,9 +105,11 @@
         now = self._clock()
         if now < self._slice_ends:
             return
-        ended = min(WINDOW_SLICES, 1 + int((now - self._slice_ends) / SLICE_S))
+        completed_slices = min(
+            WINDOW_SLICES, 1 + int((now - self._slice_ends) / SLICE_S)
+        )
         self._slice_ends = now + SLICE_S - (now - self._slice_ends) % SLICE_S
-        for _ in range(ended):
+        for _ in range(completed_slices):
             self._window.append(self._current)
             self._current = {}
 
--- a/wigeonrouter/observability/_metrics_test.py
+++ b/wigeonrouter/observability/_metrics_test.py
@@ -1,4 +1,4 @@
-"""The sliding window, the limit on series and the text format."""
+"""Guards against wrong latencies, unbounded series and unreadable metrics."""
 
 from prometheus_client import parser
 import pytest
--- a/wigeonrouter/settings/_checker.py
+++ b/wigeonrouter/settings/_checker.py
@@ -148,14 +148,14 @@
         _check_message(document, message_type.DESCRIPTOR, "$", errors, 0)
     except _TooManyErrors:
         pass
-    return tuple(errors.found)
+    return tuple(errors.collected)
 
 
 class _Errors:
     """Errors found so far in one document."""
 
     def __init__(self, *, pause):
-        self.found = []
+        self.collected = []
         self.pause = pause
 
 
@@ -239,9 +239,12 @@
     value_field = field.message_type.fields_by_name["value"]
     for key, item in value.items():
         if pattern and not re.fullmatch(pattern, key):
-            shown = _truncate(repr(key))
+            quoted_key = _truncate(repr(key))
             _add_error(
-                errors, path, f"invalid name {shown}", f"names like {pattern}"
+                errors,
+                path,
+                f"invalid name {quoted_key}",
+                f"names like {pattern}",
             )
             continue
         if not _is_unicode(key):
@@ -375,10 +378,10 @@
 
 
 def _add_error(errors, path, problem, allowed):
-    errors.found.append(
+    errors.collected.append(
         DocumentError(path=path, problem=problem, allowed=allowed)
     )
-    if len(errors.found) >= MAX_ERRORS:
+    if len(errors.collected) >= MAX_ERRORS:
         raise _TooManyErrors()
 
 
--- a/wigeonrouter/store/_contract_test.py
+++ b/wigeonrouter/store/_contract_test.py
@@ -174,7 +174,7 @@
     vm = store_pb2.Vm(name="e1", role="entry", address="10.0.0.1")
     store_standin.set_vms([vm])
     listing = store.list_vms()
-    assert [found.name for found in listing.vms] == ["e1"]
+    assert [listed.name for listed in listing.vms] == ["e1"]
     assert store.list_vms(known_version=listing.version) is None
     store_standin.set_vms([])
     assert store.list_vms(known_version=listing.version).vms == ()
