--- a/wigeonrouter/dispatch/_dispatcher_test.py
+++ b/wigeonrouter/dispatch/_dispatcher_test.py
@@ -128,12 +128,14 @@
     @stateful.invariant()
     def slots_agree(self):
         """Each grant holds one slot; each slot in use belongs to one grant."""
-        held = {}
+        grant_counts = {}
         for grant in self.grants:
-            held[grant.server.name] = held.get(grant.server.name, 0) + 1
+            grant_counts[grant.server.name] = (
+                grant_counts.get(grant.server.name, 0) + 1
+            )
         for view in self.dispatcher.views:
             assert view.in_flight <= view.server.slots + 1
-            assert view.in_flight <= held.get(view.server.name, 0)
+            assert view.in_flight <= grant_counts.get(view.server.name, 0)
 
     @stateful.invariant()
     def waiters_agree(self):
@@ -142,8 +144,10 @@
     def teardown(self):
         """All queued requests get a result once all slots are released."""
         for view in self.dispatcher.views:
-            held = sum(g.server.name == view.server.name for g in self.grants)
-            assert view.in_flight <= held
+            grant_count = sum(
+                g.server.name == view.server.name for g in self.grants
+            )
+            assert view.in_flight <= grant_count
         while self.grants:
             self.dispatcher.release(
                 self.grants.pop(),
@@ -168,7 +172,7 @@
 
 @pytest.fixture
 def dispatcher():
-    """A dispatcher of one server with 2 slots."""
+    """Return a Dispatcher of one server with 2 slots."""
     return dispatch.Dispatcher(
         service=_service(local=1, remote=0),
         place=_NORTH,
@@ -188,8 +192,11 @@
 
 @pytest.mark.parametrize("killed_first", [True, False])
 def test_a_killed_waiter_releases_its_grant(dispatcher, killed_first):
-    """The grant may be delivered before or after the task is killed."""
-    held = [_acquire(dispatcher), _acquire(dispatcher)]
+    """Guards against a leaked slot when a caller disconnects.
+
+    The grant may be delivered before or after the waiting task is killed.
+    """
+    held_grants = [_acquire(dispatcher), _acquire(dispatcher)]
 
     def run():
         grant = _acquire(dispatcher)
@@ -203,13 +210,13 @@
     assert dispatcher.queue_length == 1
     if killed_first:
         waiter.kill(block=False)
-        _release(dispatcher, held.pop())
+        _release(dispatcher, held_grants.pop())
     else:
-        _release(dispatcher, held.pop())
+        _release(dispatcher, held_grants.pop())
         waiter.kill(block=False)
     waiter.join(timeout=10)
     assert waiter.dead
-    _release(dispatcher, held.pop())
+    _release(dispatcher, held_grants.pop())
     assert [view.in_flight for view in dispatcher.views] == [0]
     assert dispatcher.queue_length == 0
 
@@ -217,8 +224,11 @@
 def test_a_grant_delivered_during_the_timeout_is_not_leaked(
     dispatcher, monkeypatch
 ):
-    """set() only schedules the wake-up, so the timeout may fire first."""
-    held = [_acquire(dispatcher), _acquire(dispatcher)]
+    """Guards against a leaked slot when the timeout fires first.
+
+    AsyncResult.set() only schedules the wake-up of the waiting task.
+    """
+    held_grants = [_acquire(dispatcher), _acquire(dispatcher)]
 
     class LateWaiter:
         value = None
@@ -230,7 +240,7 @@
             return self.value is not None
 
         def get(self, timeout):
-            _release(dispatcher, held.pop())
+            _release(dispatcher, held_grants.pop())
             raise gevent.Timeout(timeout)
 
     monkeypatch.setattr("gevent.event.AsyncResult", LateWaiter)
--- a/wigeonrouter/dispatch/_server_table.py
+++ b/wigeonrouter/dispatch/_server_table.py
@@ -73,23 +73,23 @@
         """Apply a tuple of core.BackendServer; known views are kept."""
         views = {}
         for server in servers:
-            known = self._views.get(server.name)
-            if known is None or known.server.address != server.address:
-                known = health.new_view(
+            view = self._views.get(server.name)
+            if view is None or view.server.address != server.address:
+                view = health.new_view(
                     server=server, now=now, known_group=bool(self._views)
                 )
             else:
-                known = dataclasses.replace(known, server=server)
-            views[server.name] = known
+                view = dataclasses.replace(view, server=server)
+            views[server.name] = view
         self._views = views
         self._rebuild_groups()
 
     def set_draining(self, *, addresses, now):
         """Apply the set of addresses of draining servers."""
-        returned = self._draining - addresses
+        drain_ended = self._draining - addresses
         self._draining = addresses
         for name, view in self._views.items():
-            if str(view.server.address) in returned:
+            if str(view.server.address) in drain_ended:
                 self._views[name] = health.after_drain_end(view=view, now=now)
         self._rebuild_groups()
 
--- a/wigeonrouter/limits/_queue.py
+++ b/wigeonrouter/limits/_queue.py
@@ -75,7 +75,13 @@
         return self._queued[tenant][0]
 
     def dequeue(self, entry, *, cost=1.0):
-        """Remove an entry to be served and charge its cost to the tenant."""
+        """Remove an entry to be served and charge its cost to the tenant.
+
+        Args:
+          entry: QueueEntry; no effect if it is no longer queued.
+          cost: in any unit that is the same for all entries, such as seconds
+            of slot time.
+        """
         if not entry.queued:
             return
         tenant = entry.tenant
--- a/wigeonrouter/limits/_retry_budget_test.py
+++ b/wigeonrouter/limits/_retry_budget_test.py
@@ -74,5 +74,5 @@
     assert retries >= 0.1 * requests
 
 
-def test_no_ratio_means_no_retry():
+def test_a_ratio_of_zero_allows_no_retry():
     assert not limits.RetryBudget(ratio=0.0).try_spend()
--- a/wigeonrouter/placement/_choice.py
+++ b/wigeonrouter/placement/_choice.py
@@ -91,8 +91,10 @@
         _LOGISTIC_SCALE_PER_DEVIATION * _LATENCY_DEVIATION_RATIO * seconds
         + _MIN_LOGISTIC_SCALE_S
     )
-    in_time = 1.0 / (1.0 + math.exp(min(50.0, (seconds - slack) / scale)))
-    return LATE_UTILITY + (1.0 - LATE_UTILITY) * in_time
+    on_time_probability = 1.0 / (
+        1.0 + math.exp(min(50.0, (seconds - slack) / scale))
+    )
+    return LATE_UTILITY + (1.0 - LATE_UTILITY) * on_time_probability
 
 
 def utility_of(view, *, request, service_time, mean_slowdown, now):
@@ -240,10 +242,12 @@
     utility_after_wait = response_utility(
         seconds=EXPECTED_SLOT_WAIT_S + service_time, request=request, now=now
     )
-    wait = (
+    should_wait = (
         not late and best_utility + _WAIT_UTILITY_MARGIN < utility_after_wait
     )
-    return Pick(view=best, expected_utility=best_utility, should_wait=wait)
+    return Pick(
+        view=best, expected_utility=best_utility, should_wait=should_wait
+    )
 
 
 def _harms_others(view, mean_slowdown, now, utilization):
--- a/wigeonrouter/placement/_estimate.py
+++ b/wigeonrouter/placement/_estimate.py
@@ -69,7 +69,7 @@
 
 
 def expected_load(view, now):
-    """Return the expected number of requests at a server, with queued ones.
+    """Return the expected number of running and queued requests at a server.
 
     Requests of other nodes come from the latest report and decay with its age.
     """
--- a/wigeonrouter/placement/_health.py
+++ b/wigeonrouter/placement/_health.py
@@ -19,9 +19,10 @@
 # and would attract requests.
 _FAILURES_TO_EJECT = 2
 _FIRST_EJECTION_S = 0.5
-# First ejection after missing responses.
-_FIRST_BACKOFF_S = 0.25
-_MAX_BACKOFF_S = 4.0
+# First ejection after consecutive probes or connection attempts without a
+# response.
+_FIRST_NO_RESPONSE_EJECTION_S = 0.25
+_MAX_EJECTION_S = 4.0
 # Lower bound of the failure ratio after a failed health check.
 _UNHEALTHY_FAILURE_RATIO = 0.3
 _ROUND_TRIP_WEIGHT = 0.2
@@ -76,7 +77,7 @@
     ejected_until = view.ejected_until
     if consecutive_failures >= _FAILURES_TO_EJECT:
         ejected_until = now + min(
-            _MAX_BACKOFF_S,
+            _MAX_EJECTION_S,
             _FIRST_EJECTION_S
             * 2 ** min(8, consecutive_failures - _FAILURES_TO_EJECT),
         )
@@ -123,20 +124,21 @@
 def after_no_response(view, *, now):
     """Return the view after a connection attempt or probe without a response.
 
-    The server is ejected from the second one in a row on, with exponential
-    backoff.
+    The server is ejected from the second consecutive one on, for a time that
+    doubles with each further one.
     """
     consecutive_no_response = view.consecutive_no_response + 1
     if consecutive_no_response < 2:
         return dataclasses.replace(
             view, consecutive_no_response=consecutive_no_response
         )
-    backoff = min(
-        _MAX_BACKOFF_S,
-        _FIRST_BACKOFF_S * 2 ** min(8, consecutive_no_response - 2),
+    ejection = min(
+        _MAX_EJECTION_S,
+        _FIRST_NO_RESPONSE_EJECTION_S
+        * 2 ** min(8, consecutive_no_response - 2),
     )
     return dataclasses.replace(
         view,
         consecutive_no_response=consecutive_no_response,
-        ejected_until=now + backoff,
+        ejected_until=now + ejection,
     )
--- a/wigeonrouter/placement/_health_test.py
+++ b/wigeonrouter/placement/_health_test.py
@@ -62,7 +62,7 @@
 def test_cancelled_and_timed_out_attempts_do_not_change_health(
     make_view, now, outcome
 ):
-    """Guards against blaming a server for a caller that went away."""
+    """Guards against blaming a server for a caller that disconnected."""
     view = make_view("a")
     assert placement.after_attempt(view, outcome=outcome, now=now) == view
 
--- a/wigeonrouter/placement/_queueing.py
+++ b/wigeonrouter/placement/_queueing.py
@@ -19,8 +19,8 @@
 # same time.
 HEAD_SIZE = 4
 _RATE_WINDOW_S = 1.0
-# Shorter periods since the first event give no usable rate, so that at least
-# this much time is assumed.
+# Shorter periods since the first event give no usable rate, so at least this
+# much time is assumed.
 _MIN_RATE_WINDOW_S = 0.2
 _MIN_LATE_RATE_PER_S = 1.0
 # A late request is queued only if its expected wait is at most this share of
--- a/wigeonrouter/placement/_queueing_test.py
+++ b/wigeonrouter/placement/_queueing_test.py
@@ -91,10 +91,10 @@
     or two seconds, and got their responses 1.5 s later than necessary.
     """
     request = make_request(target_time=0.1, deadline=1.7)
-    spare_rate = placement.spare_throughput(
+    spare_throughput = placement.spare_throughput(
         slots=10, service_time=SERVICE_TIME_S, slowdown=1.5, arrival_rate=15.0
     )
-    wait = placement.expected_late_wait(ahead=1, rate=spare_rate)
+    wait = placement.expected_late_wait(ahead=1, rate=spare_throughput)
     assert not placement.should_reject_late(request, wait=wait, now=100.0)
 
 
--- a/wigeonrouter/placement/_records.py
+++ b/wigeonrouter/placement/_records.py
@@ -45,8 +45,8 @@
       in_flight: requests of this node without a response so far.
       report: latest LoadReport, None before the first one.
       slow_start_until: end of its slow start.
-      failure_rate: recent share of attempts that failed, from 0 to 1.
-      failure_rate_at: time at which `failure_ratio` was updated.
+      failure_ratio: recent share of attempts that failed, from 0 to 1.
+      failure_ratio_at: time at which `failure_ratio` was updated.
       consecutive_failures: failed attempts since the last success.
       consecutive_no_response: probes and connection attempts since the last
         response.
--- a/wigeonrouter/selection/_comparison.py
+++ b/wigeonrouter/selection/_comparison.py
@@ -63,6 +63,7 @@
     servers. Load reports stand in for probes; each is used a limited number of
     times.
     """
+    # By server: time of the latest report, and choices that were made with it.
     report_uses = context.policy_state or {}
     pool = [
         view
@@ -167,8 +168,8 @@
 
 def _report_uses(report_uses, view):
     received, count = report_uses.get(view.server.name, (None, 0))
-    known = view.report.received if view.report else None
-    return count if received == known else 0
+    latest = view.report.received if view.report else None
+    return count if received == latest else 0
 
 
 def _sample(views, count, context):
