--- a/wigeonrouter/node/_balancer.py
+++ b/wigeonrouter/node/_balancer.py
@@ -133,9 +133,9 @@
         )
         self._wake_head()
 
-    def misdirected(self, instance):
+    def remove_server(self, instance):
         """Remove a server whose address now belongs to another one."""
-        self._server_pool.misdirected(instance)
+        self._server_pool.remove_server(instance)
 
     def _check_admission(self, request, service_time, now):
         """Return the Rejection of a new request, None to admit it."""
@@ -186,7 +186,8 @@
                 request, service_time, service_time, now
             )
         if now - request.target_time + service_time < 2 * _MAX_POLL_S:
-            # The request has just become late and joins the late ones.
+            # The request became late within the last two polls and is admitted
+            # again, now as a late one.
             return self._check_late_admission(request, service_time, now)
         return None
 
--- a/wigeonrouter/node/_channel.py
+++ b/wigeonrouter/node/_channel.py
@@ -61,7 +61,6 @@
             raise ChannelClosed(str(error)) from error
 
     def close(self):
-
         self._sock.close()
 
     def _read(self, length):
--- a/wigeonrouter/node/_cluster_state.py
+++ b/wigeonrouter/node/_cluster_state.py
@@ -20,7 +20,6 @@
     """
 
     def __init__(self, *, events, on_change, clock=time.monotonic):
-
         self._events = events
         self._on_change = on_change
         self._clock = clock
--- a/wigeonrouter/node/_node.py
+++ b/wigeonrouter/node/_node.py
@@ -30,7 +30,8 @@
 _TIMEOUTS_WRITE_INTERVAL_S = 5.0
 _MAX_CALLER_CONNECTIONS = 3_000
 # TTL of directory responses. Some callers cache a response for three times as
-# long, and a stopping node has to be out of all cached ones in time.
+# long, and all responses that list a stopping node have to expire before it
+# stops accepting requests.
 _ENTRIES_TTL_S = 1.0
 # Share of the stop grace during which a stopping node still accepts requests,
 # because callers with a cached directory response still send some.
@@ -47,8 +48,8 @@
 )
 # Nodes of a region that serve the callers of one service (its homes).
 _HOMES_PER_SERVICE = 1
-# Share of the retry budget that nodes use. The rest is a margin for requests
-# that are counted in another window than by the observer of the budget.
+# Share of the retry budget that nodes use. The rest is a margin, because the
+# deployment may count requests at the edges of a window differently.
 _RETRY_BUDGET_SHARE = 0.9
 
 
--- a/wigeonrouter/node/_prober.py
+++ b/wigeonrouter/node/_prober.py
@@ -9,7 +9,7 @@
 from wigeonrouter.node import messages
 
 # Responses to health checks are short.
-_MAX_BYTES = 16 << 10
+_MAX_RESPONSE_BYTES = 16 << 10
 _CONNECTIONS_PER_SERVER = 32
 
 
@@ -90,7 +90,7 @@
                     self._codec.render_probe(path=path, address=address)
                 )
                 reader = http1.ResponseReader(
-                    receive=connection.receive, max_bytes=_MAX_BYTES
+                    receive=connection.receive, max_bytes=_MAX_RESPONSE_BYTES
                 )
                 response = reader.read(b"GET")
                 reusable = reader.reusable
--- a/wigeonrouter/node/_proxy.py
+++ b/wigeonrouter/node/_proxy.py
@@ -18,7 +18,9 @@
 # A node that has just started usually has its configuration within this time.
 # Until then it holds requests instead of rejecting them.
 _STARTUP_WAIT_S = 0.5
-_REJECTION_RETRY_AFTER_S = 0.1
+# Retry-After after the last attempt could not connect or was rejected by its
+# server.
+_FAILED_ATTEMPT_RETRY_S = 0.1
 # An estimated caller timeout is written to the store again when it differs
 # from the stored one by more than this share of it.
 _MIN_TIMEOUT_CHANGE_SHARE = 0.2
@@ -252,14 +254,14 @@
                 return None
             return messages.Rejection(
                 problem=core.problems.CONNECT_FAILED,
-                retry_after=_REJECTION_RETRY_AFTER_S,
+                retry_after=_FAILED_ATTEMPT_RETRY_S,
                 detail=attempt.detail,
             )
         context.attempts += 1
         if attempt.may_have_run:
             context.may_have_run = True
         if attempt.metadata is not None and attempt.metadata.misdirected:
-            balancer.misdirected(instance)
+            balancer.remove_server(instance)
         if attempt.outcome is placement.AttemptOutcome.SUCCEEDED:
             return attempt.response
         if self._may_retry(context, balancer, attempt):
@@ -344,7 +346,7 @@
         )
     return messages.Rejection(
         problem=core.problems.REFUSED_BY_SERVER,
-        retry_after=_REJECTION_RETRY_AFTER_S,
+        retry_after=_FAILED_ATTEMPT_RETRY_S,
         detail=attempt.detail,
     )
 
--- a/wigeonrouter/node/_server_pool.py
+++ b/wigeonrouter/node/_server_pool.py
@@ -160,7 +160,7 @@
             )
         self._registrations, self._views = registrations, views
 
-    def misdirected(self, instance):
+    def remove_server(self, instance):
         """Remove a server whose address now belongs to another one."""
         self._registrations.pop(instance, None)
         self._views.pop(instance, None)
@@ -338,7 +338,7 @@
             self._replace_view(placement.after_no_response(view, now=now))
             return
         if not result.instance_matches:
-            self.misdirected(instance)
+            self.remove_server(instance)
             return
         report = None
         if result.load is not None:
--- a/wigeonrouter/node/messages.py
+++ b/wigeonrouter/node/messages.py
@@ -29,7 +29,8 @@
       running: requests that are executing.
       queued: requests in the server's own queue.
       slots: requests that the server executes concurrently.
-      slowdown: current service time as a multiple of the normal one.
+      slowdown: current service time divided by that on an undisturbed
+        server.
     """
 
     running: int
@@ -67,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Rejection:
-    """A request that the node rejects or fails.
+    """The reason why the node rejects or fails a request.
 
     Attributes:
       problem: the problem type, which determines the status.
