--- a/wigeonrouter/platform/_emulator.py
+++ b/wigeonrouter/platform/_emulator.py
@@ -181,15 +181,15 @@
         return _respond(404)
 
     def _range(self, query):
-        found = self._items
+        items = self._items
         if self._old_items is not None and query.get("stale_ok") == "1":
-            found = self._old_items
-        keys = sorted(k for k in found if k.startswith(query["prefix"]))
+            items = self._old_items
+        keys = sorted(k for k in items if k.startswith(query["prefix"]))
         keys = keys[bisect.bisect_right(keys, query.get("after", "")) :]
         return _respond(
             200,
             {
-                "items": [found[key] for key in keys[:_PAGE_ITEMS]],
+                "items": [items[key] for key in keys[:_PAGE_ITEMS]],
                 "has_more": len(keys) > _PAGE_ITEMS,
                 "as_of": self._revision,
             },
@@ -197,7 +197,7 @@
 
     def _watch(self, query):
         after = int(query["after"])
-        ends = time.monotonic() + int(query["wait_ms"]) / 1000
+        deadline = time.monotonic() + int(query["wait_ms"]) / 1000
         while True:
             oldest = self._log[0]["revision"] if self._log else None
             if after < self._revision and (
@@ -210,13 +210,13 @@
                 if row["revision"] > after
                 and row["key"].startswith(query["prefix"])
             ]
-            left = ends - time.monotonic()
-            if events or left <= 0:
+            remaining = deadline - time.monotonic()
+            if events or remaining <= 0:
                 return _respond(
                     200, {"events": events, "as_of": self._revision}
                 )
             self._changed.clear()
-            self._changed.wait(timeout=left)
+            self._changed.wait(timeout=remaining)
 
     def _transact(self, document):
         for row in document["expected_rev"]:
@@ -229,12 +229,14 @@
 
     def _write(self, key, value):
         self._revision += 1
-        known = self._items.get(key)
+        previous = self._items.get(key)
         item = {
             "key": key,
             "value": base64.b64encode(value).decode(),
             "revision": self._revision,
-            "created_rev": known["created_rev"] if known else self._revision,
+            "created_rev": previous["created_rev"]
+            if previous
+            else self._revision,
             "lease": 0,
         }
         self._items[key] = item
@@ -266,7 +268,7 @@
     """Emulates a backend server with a limited number of slots.
 
     Attributes:
-      slowdown: factor by which the service time is longer than normal.
+      slowdown: current service time divided by the undisturbed one.
       runs: Run of each request that it began to execute.
       probes: number of health checks received.
       rejected_count: number of requests rejected for lack of a slot.
@@ -383,8 +385,8 @@
             self.ended[request_id] = time.monotonic()
 
     def _execute(self, request, sock):
-        ends = time.monotonic() + self._service_time * self.slowdown
-        while time.monotonic() < ends:
+        ends_at = time.monotonic() + self._service_time * self.slowdown
+        while time.monotonic() < ends_at:
             gevent.sleep(_CANCEL_CHECK_INTERVAL_S)
             if sock.fileno() < 0:
                 raise ConnectionResetError("server stopped")
--- a/wigeonrouter/platform/_end_to_end_test.py
+++ b/wigeonrouter/platform/_end_to_end_test.py
@@ -12,7 +12,7 @@
 
 
 def start_ready(backend, node, *instances, **options):
-    """Start backend servers and wait until the node has registered them."""
+    """Start backend servers and wait until the node knows them."""
     servers = [backend(instance, **options) for instance in instances]
     wait_until(lambda: set(instances) <= node.servers)
     return servers
--- a/wigeonrouter/platform/_http.py
+++ b/wigeonrouter/platform/_http.py
@@ -23,8 +23,8 @@
     _DEADLINE,
     _EXPECTED_INSTANCE,
 }
-# Value of a load report's fourth number at normal service time.
-_NORMAL_SLOWDOWN = 100.0
+# The fourth number of a load report is the slowdown in percent.
+_UNDISTURBED_SLOWDOWN_PERCENT = 100.0
 _READINESS_PATH = "/api/readiness"
 _RESOLVE_PATH = "/api/resolve"
 
@@ -149,7 +149,7 @@
         return None
     slowdown = 1.0
     if len(numbers) > 3 and numbers[3] > 0:
-        slowdown = numbers[3] / _NORMAL_SLOWDOWN
+        slowdown = numbers[3] / _UNDISTURBED_SLOWDOWN_PERCENT
     return messages.ServerLoad(
         running=int(numbers[0]),
         queued=int(numbers[1]),
--- a/wigeonrouter/platform/_settings.py
+++ b/wigeonrouter/platform/_settings.py
@@ -6,6 +6,7 @@
 from wigeonrouter import topology
 from wigeonrouter.platform import _fields
 
+# Environment variable with the path of the settings file.
 PATH_VARIABLE = "WIGEONROUTER_SETTINGS"
 
 
@@ -24,7 +25,7 @@
     def __init__(self, *, path, current):
         self._path = path
         self._latest = current
-        self._rejected = ""
+        self._reported_error = ""
 
     def read(self):
         """Return the new topology.NodeSettings, None if nothing changed.
@@ -36,11 +37,11 @@
         try:
             settings = load(self._path)
         except SettingsError as error:
-            if str(error) == self._rejected:
+            if str(error) == self._reported_error:
                 return None
-            self._rejected = str(error)
+            self._reported_error = str(error)
             raise
-        self._rejected = ""
+        self._reported_error = ""
         if settings == self._latest:
             return None
         self._latest = settings
@@ -109,8 +110,8 @@
 
 
 def _optional_address(values, name):
-    found = values.get(name)
-    return _fields.to_address(found) if found else None
+    value = values.get(name)
+    return _fields.to_address(value) if value else None
 
 
 def _read_capacity(values):
@@ -124,9 +125,9 @@
     return max(1, round(share * speed * 1000))
 
 
-def _read_bounds(joined):
+def _read_bounds(text):
     values = {}
-    for part in joined.split(","):
+    for part in text.split(","):
         name, _, value = part.partition("=")
         values[name.strip()] = value.strip()
     parsed = {}
--- a/wigeonrouter/platform/_settings_test.py
+++ b/wigeonrouter/platform/_settings_test.py
@@ -27,8 +27,8 @@
 
 
 @pytest.fixture
-def settings_file(tmp_path):
-    """Return a function that writes settings and returns the path."""
+def write_settings(tmp_path):
+    """Return a function that writes the settings file; returns its path."""
     path = tmp_path / "settings.conf"
 
     def write(text=_LINES, **changes):
@@ -43,15 +43,15 @@
     return write
 
 
-def test_fields_are_read_and_unknown_ones_ignored(settings_file):
+def test_fields_are_read_and_unknown_ones_ignored(write_settings):
     """Guards against a node that fails to start on unknown fields."""
-    found = _settings.load(settings_file())
-    assert found.capacity == 2151
-    assert found.seeds == ("10.1.0.34", "10.2.0.34")
-    assert found.regions == {"za": "r1", "zb": "r2"}
-    assert str(found.control_address) == "10.1.0.34:8544"
-    assert found.bounds.retry_ratio == 0.2
-    assert found.bounds.stop_grace == 6.0
+    settings = _settings.load(write_settings())
+    assert settings.capacity == 2151
+    assert settings.seeds == ("10.1.0.34", "10.2.0.34")
+    assert settings.regions == {"za": "r1", "zb": "r2"}
+    assert str(settings.control_address) == "10.1.0.34:8544"
+    assert settings.bounds.retry_ratio == 0.2
+    assert settings.bounds.stop_grace == 6.0
 
 
 @pytest.mark.parametrize(
@@ -66,37 +66,37 @@
         ("ip", ""),
     ],
 )
-def test_invalid_field_is_rejected(settings_file, name, value):
+def test_invalid_field_is_rejected(write_settings, name, value):
     """Guards against a node that starts with misread settings."""
     lines = _LINES.replace(
         next(row for row in _LINES.splitlines() if row.startswith(name)),
         f"{name}={value}",
     )
     with pytest.raises(_settings.SettingsError):
-        _settings.load(settings_file(lines))
+        _settings.load(write_settings(lines))
 
 
-def test_change_is_reported_once(settings_file):
+def test_change_is_reported_once(write_settings):
     """Guards against a reload at every poll of the file."""
-    path = settings_file()
-    settings_changes = _settings.SettingsFile(
+    path = write_settings()
+    settings_file = _settings.SettingsFile(
         path=path, current=_settings.load(path)
     )
-    assert settings_changes.read() is None
-    settings_file(_LINES.replace("grace=6s", "grace=9s"))
-    assert settings_changes.read().bounds.stop_grace == 9.0
-    assert settings_changes.read() is None
+    assert settings_file.read() is None
+    write_settings(_LINES.replace("grace=6s", "grace=9s"))
+    assert settings_file.read().bounds.stop_grace == 9.0
+    assert settings_file.read() is None
 
 
-def test_invalid_change_is_reported_once_and_ignored(settings_file):
+def test_invalid_change_is_reported_once_and_ignored(write_settings):
     """Guards against a log line per second for one invalid file."""
-    path = settings_file()
-    settings_changes = _settings.SettingsFile(
+    path = write_settings()
+    settings_file = _settings.SettingsFile(
         path=path, current=_settings.load(path)
     )
-    settings_file(_LINES.replace("heartbeat=1500ms", "heartbeat=x"))
+    write_settings(_LINES.replace("heartbeat=1500ms", "heartbeat=x"))
     with pytest.raises(_settings.SettingsError):
-        settings_changes.read()
-    assert settings_changes.read() is None
-    settings_file()
-    assert settings_changes.read() is None
+        settings_file.read()
+    assert settings_file.read() is None
+    write_settings()
+    assert settings_file.read() is None
--- a/wigeonrouter/platform/_store.py
+++ b/wigeonrouter/platform/_store.py
@@ -204,10 +204,10 @@
 
 
 def _field(document, name, kind):
-    found = document.get(name) if isinstance(document, dict) else None
-    if not isinstance(found, kind):
+    value = document.get(name) if isinstance(document, dict) else None
+    if not isinstance(value, kind):
         raise store.StoreUnavailable(f"response without {name}")
-    return found
+    return value
 
 
 def _read_item(row):
--- a/wigeonrouter/platform/_store_test.py
+++ b/wigeonrouter/platform/_store_test.py
@@ -10,59 +10,59 @@
 
 
 @pytest.fixture
-def server():
+def emulated_store():
     """Run an emulated store."""
-    server = _emulator.EmulatedStore()
-    yield server
-    server.stop()
+    emulated_store = _emulator.EmulatedStore()
+    yield emulated_store
+    emulated_store.stop()
 
 
 @pytest.fixture
-def client(server):
+def client(emulated_store):
     """Return a client of the emulated store."""
     client = _store.StoreClient(
-        address=core.parse_address(server.address), timeout=0.3
+        address=core.parse_address(emulated_store.address), timeout=0.3
     )
     yield client
     client.close()
 
 
-def test_pages_are_read_to_the_end(server, client):
+def test_pages_are_read_to_the_end(emulated_store, client):
     """Guards against a listing that misses items after the first page."""
     for number in range(1100):
-        server.put(f"k/{number:04}", b"v")
+        emulated_store.put(f"k/{number:04}", b"v")
     listing = client.list("k/")
     assert len(listing.items) == 1100
     assert listing.items[7].value == b"v"
 
 
-def test_watch_returns_writes_and_removals(server, client):
+def test_watch_returns_writes_and_removals(emulated_store, client):
     """Guards against a removal that is mistaken for a write."""
     revision = client.list("").revision
-    server.put("a", b"1")
-    server.remove("a")
+    emulated_store.put("a", b"1")
+    emulated_store.remove("a")
     events = client.watch("", revision=revision, wait=1.0)
     assert [item.value for item in events.changes] == [b"1", None]
     later = client.watch("", revision=events.revision, wait=0.05)
     assert later.changes == () and later.revision == events.revision
 
 
-def test_watch_after_a_stale_listing_misses_nothing(server, client):
+def test_watch_after_a_stale_listing_misses_nothing(emulated_store, client):
     """Guards against losing changes between stale items and the revision.
 
     The store reports its current revision with the stale items, and a watch
     from there would miss the changes in between.
     """
-    server.put("a", b"1")
-    server.old_reads = True
-    server.put("b", b"2")
+    emulated_store.put("a", b"1")
+    emulated_store.old_reads = True
+    emulated_store.put("b", b"2")
     listing = client.list("", stale=True)
     assert [item.key for item in listing.items] == ["a"]
     events = client.watch("", revision=listing.revision, wait=1.0)
     assert [item.key for item in events.changes] == ["b"]
 
 
-def test_create_writes_once(server, client):
+def test_create_writes_once(emulated_store, client):
     """Guards against overwriting a key that another process wrote."""
     assert client.create("k", b"1")
     assert not client.create("k", b"2")
@@ -77,31 +77,31 @@
         ("refusing", store_api.StoreUnavailable),
     ],
 )
-def test_failed_calls_raise_typed_errors(server, client, fault, error):
+def test_failed_calls_raise_typed_errors(emulated_store, client, fault, error):
     """Guards against calls that hang or raise an untyped error.
 
     Also checks that the client works again after the fault.
     """
     client.list("")
-    setattr(server, fault, True)
+    setattr(emulated_store, fault, True)
     with pytest.raises(error):
         client.list("")
-    setattr(server, fault, False)
+    setattr(emulated_store, fault, False)
     client.list("")
 
 
-def test_lost_history_is_reported(server, client):
+def test_lost_history_is_reported(emulated_store, client):
     """Guards against changes that are lost without an error."""
     revision = client.list("").revision
-    server.put("a", b"1")
-    server.forget_history()
+    emulated_store.put("a", b"1")
+    emulated_store.forget_history()
     with pytest.raises(store_api.HistoryLost):
         client.watch("", revision=revision, wait=0.1)
 
 
-def test_concurrent_calls_get_their_own_responses(server, client):
+def test_concurrent_calls_get_their_own_responses(emulated_store, client):
     """Guards against a response that is given to another task's call."""
-    server.put("a", b"1")
+    emulated_store.put("a", b"1")
     revision = client.list("").revision
     watch = gevent.spawn(client.watch, "", revision=revision, wait=0.2)
     calls = [gevent.spawn(client.list, "a") for _ in range(3)]
--- a/wigeonrouter/platform/_store_values.py
+++ b/wigeonrouter/platform/_store_values.py
@@ -101,9 +101,9 @@
 
 
 def _read_version(document):
-    found = _fields.get_string(document, "version")
+    text = _fields.get_string(document, "version")
     try:
-        return int(found, 16)
+        return int(text, 16)
     except ValueError as error:
         raise _fields.FieldError(f"version: {error}") from error
 
--- a/wigeonrouter/platform/conftest.py
+++ b/wigeonrouter/platform/conftest.py
@@ -228,9 +228,9 @@
 
 def wait_until(condition, timeout=_READY_TIMEOUT_S):
     """Wait for a condition; fail if it is not true within `timeout` s."""
-    ends = time.monotonic() + timeout
+    deadline = time.monotonic() + timeout
     while not condition():
-        assert time.monotonic() < ends, "condition was not met in time"
+        assert time.monotonic() < deadline, "condition was not met in time"
         gevent.sleep(0.01)
 
 
--- a/wigeonrouter/platform/testing.py
+++ b/wigeonrouter/platform/testing.py
@@ -196,13 +196,13 @@
     )
 
 
-def read_entries(reply):
-    """Return the entry addresses and the TTL (seconds) of a response.
+def read_entries(response):
+    """Return the entry addresses of a directory response and its TTL in s.
 
     Raises:
       ValueError: the response lists no entries.
     """
-    document = json.loads(reply.body)
+    document = json.loads(response.body)
     if "addresses" not in document:
         raise ValueError("no entries")
     addresses = tuple(map(core.parse_address, document["addresses"]))
--- a/wigeonrouter/topology/_directory.py
+++ b/wigeonrouter/topology/_directory.py
@@ -13,7 +13,7 @@
 # Alive servers register again within about this time after an outage.
 REREGISTRATION_GRACE_S = 2.2
 # If more than this share of the registrations disappears at once, they have
-# lapsed for want of renewal.
+# lapsed because they were not renewed.
 _MASS_LAPSE_SHARE = 0.5
 
 
@@ -113,7 +113,7 @@
                 del self._known[instance]
 
     def retain_only(self, instances, now):
-        """Remove all registrations but those given, after a full read."""
+        """Remove all registrations but those given, after a full listing."""
         self.remove(self._known.keys() - set(instances), now)
 
     def expire(self, now):
--- a/wigeonrouter/topology/_records.py
+++ b/wigeonrouter/topology/_records.py
@@ -21,8 +21,9 @@
       instance: identifies one start of the server.
       slow_start: duration of its slow start, counted from `started_ms` or from
         the arrival of the registration.
-      started_ms: its start in ms since the epoch, 0 if unknown.
-      sequence: number of this registration, counted from its start.
+      started_ms: start of the server in ms since the epoch, 0 if unknown.
+      sequence: number of this registration, counted from the start of the
+        server.
     """
 
     instance: str
--- a/wigeonrouter/topology/_region.py
+++ b/wigeonrouter/topology/_region.py
@@ -88,15 +88,15 @@
     Returns:
       Decision.
     """
-    hubs, followed = set(), set()
+    hubs, followed_hubs = set(), set()
     for host, role in roles.items():
         if reaches_store and not role.store_reachable:
             continue
         if role.kind is RoleKind.HUB:
             hubs.add(host)
         elif role.kind is RoleKind.FOLLOWER:
-            followed.add(role.hub)
-    for candidates in (hubs, followed):
+            followed_hubs.add(role.hub)
+    for candidates in (hubs, followed_hubs):
         for host in order:
             if (
                 host in candidates
@@ -115,7 +115,7 @@
 
 
 def should_step_down(*, own_host, order, roles):
-    """Return whether a hub must give way to another hub.
+    """Return whether a hub should step down in favour of another hub.
 
     Two hubs may exist after a network partition. The first one in order stays.
 
--- a/wigeonrouter/topology/_region_test.py
+++ b/wigeonrouter/topology/_region_test.py
@@ -103,8 +103,8 @@
         peer("d", capacity=1500),
     ]
     for service in ("x", "y", "z"):
-        found = topology.home_nodes(service=service, peers=peers, count=2)
-        assert {home.host for home in found} == {"c", "d"}
+        homes = topology.home_nodes(service=service, peers=peers, count=2)
+        assert {home.host for home in homes} == {"c", "d"}
 
 
 def test_homes_change_only_when_their_node_fails():
@@ -114,7 +114,7 @@
         (home,) = topology.home_nodes(service=service, peers=peers, count=1)
         others = [p for p in peers if p.host != home.host]
         for failed in others:
-            rest = [p for p in peers if p != failed]
+            remaining = [p for p in peers if p != failed]
             assert topology.home_nodes(
-                service=service, peers=rest, count=1
+                service=service, peers=remaining, count=1
             ) == (home,)
