--- a/wigeonrouter/entries/_ranking_cache_test.py
+++ b/wigeonrouter/entries/_ranking_cache_test.py
@@ -72,4 +72,5 @@
         rng=random.Random(1),
     )
     assert len(cache) == 0
+    # The rankings of all 1,700 services of a deployment have to fit.
     assert _ranking_cache.MAX_CACHED_RANKINGS > 1700
--- a/wigeonrouter/events/_events.py
+++ b/wigeonrouter/events/_events.py
@@ -15,6 +15,7 @@
 from gevent import hub as gevent_hub
 
 MAX_BUFFERED_LINES = 2_000
+# Event mask of libev for a descriptor that can be written.
 _LIBEV_WRITE = 2
 _FLUSH_INTERVAL_S = 0.2
 _MAX_BATCH_LINES = 200
@@ -71,11 +72,12 @@
         self._flush_now()
 
     def event(self, name, /, **fields):
-        """Log an event of a request; dropped if it exceeds the rate limit.
+        """Log an event of a request or server, subject to the rate limit.
 
         Args:
           name: name of the event.
-          fields: fields of the line, serializable as JSON or str().
+          fields: fields of the line; values that JSON cannot represent are
+            written as str().
         """
         self._counts[name] += 1
         now = self._wall_clock()
--- a/wigeonrouter/events/_events_test.py
+++ b/wigeonrouter/events/_events_test.py
@@ -82,11 +82,11 @@
     for _ in range(20):
         data += read_now(pipe[0])
         gevent.sleep(0.05)
-    found = parse(data)
-    names = [event["event"] for event in found]
+    logged = parse(data)
+    names = [event["event"] for event in logged]
     assert "important" in names
     written = names.count("decision")
-    reported = [event for event in found if event["event"] == "lines-dropped"]
+    reported = [event for event in logged if event["event"] == "lines-dropped"]
     dropped = sum(event["by_event"].get("decision", 0) for event in reported)
     assert reported and written + dropped <= _CALLS
     assert log.counts["decision"] == _CALLS
