--- a/wigeonrouter/bench/_control.py
+++ b/wigeonrouter/bench/_control.py
@@ -101,7 +101,7 @@
     size = len(fleet)
     kind = "busy" if changes else "idle"
     before = _sum_counts(fleet)
-    calls = store.calls
+    calls = store.call_counts
     started, cpu = time.monotonic(), time.process_time()
     spreads = []
     if changes:
@@ -126,7 +126,7 @@
     emit(f"{name}.calls_per_node", counts["calls"] / elapsed / size, "1/s")
     emit(
         f"{name}.store_calls",
-        (sum(store.calls.values()) - sum(calls.values())) / elapsed,
+        (sum(store.call_counts.values()) - sum(calls.values())) / elapsed,
         "1/s",
     )
     if spreads:
--- a/wigeonrouter/health/_faults_test.py
+++ b/wigeonrouter/health/_faults_test.py
@@ -103,7 +103,7 @@
 
 
 def _run_count(standin):
-    return sum(standin.runs.values())
+    return sum(standin.execution_counts.values())
 
 
 def test_server_announcing_a_drain_gets_no_new_requests(handler, backends):
@@ -152,7 +152,9 @@
     # slot before the second timeout ejects the server.
     assert 0 < outcomes.count(b"unknown") <= 3
     assert set(outcomes) <= {b"ok", b"unknown"}
-    assert max(max(b.runs.values(), default=0) for b in backends) == 1
+    assert (
+        max(max(b.execution_counts.values(), default=0) for b in backends) == 1
+    )
 
 
 def test_non_idempotent_requests_run_once_when_responses_are_truncated(
@@ -164,7 +166,7 @@
     assert set(outcomes) == {b"unknown"}
     runs = {}
     for standin in backends:
-        for request_id, count in standin.runs.items():
+        for request_id, count in standin.execution_counts.items():
             runs[request_id] = runs.get(request_id, 0) + count
     assert len(runs) == 10
     assert set(runs.values()) == {1}
--- a/wigeonrouter/health/_processes_test.py
+++ b/wigeonrouter/health/_processes_test.py
@@ -112,11 +112,11 @@
 def _assert_gets_no_requests(fleet, backend):
     """Fill all slots through both daemons; none may be on this backend."""
     gevent.sleep(_MAX_DRAIN_PROPAGATION_S)
-    before = sum(backend.runs.values())
+    before = sum(backend.execution_counts.values())
     for _ in range(5):
         for port in fleet.callers:
             assert set(_send(port, 2 * _BACKENDS)) == {200}
-    assert sum(backend.runs.values()) == before
+    assert sum(backend.execution_counts.values()) == before
 
 
 def test_drain_action_reaches_all_daemons_while_the_store_is_paused(
@@ -154,7 +154,7 @@
     callers = [gevent.spawn(_keep_sending, port) for port in fleet.callers]
     # Longer than the hold-off that follows the start of both daemons.
     gevent.sleep(10)
-    times = sorted(t for standin in backends for t in standin.probes)
+    times = sorted(t for standin in backends for t in standin.probe_times)
     assert times, "no probe was sent, so the test shows nothing"
     for name in ("d0", "d1"):
         fleet.send_signal(name, signal.SIGSTOP)
@@ -162,7 +162,7 @@
         fleet.send_signal(name, signal.SIGCONT)
         gevent.sleep(1)
     gevent.killall(callers)
-    times = sorted(t for standin in backends for t in standin.probes)
+    times = sorted(t for standin in backends for t in standin.probe_times)
     for start in times:
         window = [t for t in times if start <= t < start + _WINDOW_S]
         assert len(window) <= _PROBES_PER_SECOND * _WINDOW_S + 1
--- a/wigeonrouter/request_path/_hedging_test.py
+++ b/wigeonrouter/request_path/_hedging_test.py
@@ -35,7 +35,7 @@
     hedged_path.configure(
         retries=core.RetrySettings(hedge_quantile=0.9, max_attempts=1)
     )
-    before = len(slow.runs)
+    before = len(slow.execution_counts)
     for number in range(3):
         # Without cancellation the slow attempt would take this long.
         response = send(
@@ -45,7 +45,7 @@
             X_Request_Timeout_Ms=30_000,
         )
         assert response.status == 200
-    assert len(slow.runs) > before
+    assert len(slow.execution_counts) > before
     wait_until(lambda: slow.in_flight == 0)
     hedged_path.assert_released()
 
--- a/wigeonrouter/request_path/conftest.py
+++ b/wigeonrouter/request_path/conftest.py
@@ -80,7 +80,9 @@
 
     def runs(self, request_id):
         """Return how many times the backend servers ran a request."""
-        return sum(b.runs.get(request_id, 0) for b in self.backends)
+        return sum(
+            b.execution_counts.get(request_id, 0) for b in self.backends
+        )
 
     def connect(self):
         """Return a new caller connection."""
--- a/wigeonrouter/standins/_backend.py
+++ b/wigeonrouter/standins/_backend.py
@@ -66,7 +66,7 @@
         )
 
     @property
-    def runs(self):
+    def execution_counts(self):
         """Number of completed or started runs by request id."""
         return dict(self._runs)
 
@@ -76,7 +76,7 @@
         return self._in_flight
 
     @property
-    def probes(self):
+    def probe_times(self):
         """Times at which probes arrived, seconds on the monotonic clock."""
         return tuple(self._probes)
 
--- a/wigeonrouter/standins/_store.py
+++ b/wigeonrouter/standins/_store.py
@@ -34,7 +34,7 @@
         )
 
     @property
-    def calls(self):
+    def call_counts(self):
         """Number of calls by kind."""
         return dict(self._calls)
 
