--- a/wigeonrouter/conftest.py
+++ b/wigeonrouter/conftest.py
@@ -2,8 +2,9 @@
 
 import os
 
-# This process starts others. gRPC's fork handlers would run its polling
-# thread in the child, where closed descriptors make it abort before exec.
+# Tests start child processes. With fork support enabled, gRPC would run its
+# polling thread in the child, where closed file descriptors make it abort
+# before exec.
 os.environ["GRPC_ENABLE_FORK_SUPPORT"] = "0"
 
 from gevent import monkey  # noqa: E402
@@ -25,7 +26,7 @@
 
 @pytest.fixture
 def store_standin():
-    """A running store stand-in on a free port."""
+    """Return a running StoreStandin on a free port."""
     standin = standins.StoreStandin(address=LOOPBACK)
     standin.start()
     yield standin
@@ -34,7 +35,7 @@
 
 @pytest.fixture
 def store(store_standin):
-    """A client of the store stand-in."""
+    """Return a client of the store stand-in with a timeout of 0.3 s."""
     client = store_api.open_store(
         name="tcp",
         address=core.Address(host="127.0.0.1", port=store_standin.port),
@@ -46,7 +47,7 @@
 
 @pytest.fixture
 def backend_standin():
-    """A running backend server stand-in on a free port."""
+    """Return a running BackendStandin on a free port."""
     standin = standins.BackendStandin(address=LOOPBACK, service_ms=1)
     standin.start()
     yield standin
