--- a/wigeonrouter/standins/__init__.py
+++ b/wigeonrouter/standins/__init__.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the platform and for backend servers."""
+"""In-memory stand-ins for the platform's store and for backend servers."""
 
 from wigeonrouter.standins import _backend
 from wigeonrouter.standins import _store
--- a/wigeonrouter/standins/_backend.py
+++ b/wigeonrouter/standins/_backend.py
@@ -1,7 +1,8 @@
-"""Stand-in for a backend server with a few slots.
+"""Stand-in for a backend server with a fixed number of slots.
 
-It runs each request for a set time, counts how often each request id ran,
-and reports its load on every answer. Faults are set by HTTP on /_fault.
+It executes each request for a fixed service time, counts the executions of
+each request id, and reports its load in its responses. Faults are injected by
+set_fault() or by an HTTP request to /_fault.
 """
 
 import json
@@ -13,7 +14,7 @@
 from gevent import socket
 import httptools
 
-_DEFAULT_FAULT = {
+_NO_FAULTS = {
     "delay_ms": 0,
     "fail": False,
     "draining": False,
@@ -21,15 +22,15 @@
     "silent": False,
     "truncate": False,
     "garble": False,
-    # Bytes sent in place of the answer, as Latin-1 text.
+    # Bytes that are sent instead of the response, as Latin-1 text.
     "raw": "",
-    # Close the connection after this answer.
+    # Close the connection after the response.
     "close": False,
 }
 
 
 class _Request:
-    """Collects one request for httptools."""
+    """Collects the parts of one request; implements httptools callbacks."""
 
     def __init__(self):
         self.url = b""
@@ -51,46 +52,56 @@
 
 
 class BackendStandin:
-    """Serves HTTP on one address."""
+    """Serves HTTP on one address.
+
+    Args:
+      address: core.Address to listen on, port 0 for any free one.
+      slots: number of requests that are executed concurrently.
+      service_ms: service time of a request in milliseconds.
+    """
 
     def __init__(self, *, address, slots=2, service_ms=5.0):
         self._slots = lock.Semaphore(slots)
         self._slot_count = slots
-        self._service = service_ms / 1000
+        self._service_time_s = service_ms / 1000
         self._in_flight = 0
-        self._runs = {}
-        self._probes = []
-        self._fault = dict(_DEFAULT_FAULT)
+        self._execution_counts = {}
+        self._probe_times = []
+        self._faults = dict(_NO_FAULTS)
         self._server = gevent_server.StreamServer(
             (address.host, address.port), self._serve
         )
 
     @property
     def execution_counts(self):
-        """Number of completed or started runs by request id."""
-        return dict(self._runs)
+        """Dict from request id to its number of executions that started."""
+        return dict(self._execution_counts)
 
     @property
     def in_flight(self):
-        """Number of requests that wait for a slot or run."""
+        """Number of requests that are executed or wait for a slot."""
         return self._in_flight
 
     @property
     def probe_times(self):
-        """Times at which probes arrived, seconds on the monotonic clock."""
-        return tuple(self._probes)
+        """Arrival times of probes, seconds on the monotonic clock."""
+        return tuple(self._probe_times)
 
     @property
     def port(self):
         """Port that the server listens on."""
         return self._server.server_port
 
-    def set_fault(self, **fault):
-        """Set faults; those not named are cleared."""
-        self._fault = {**_DEFAULT_FAULT, **fault}
+    def set_fault(self, **faults):
+        """Set the named faults and clear all others.
+
+        Args:
+          faults: values for keys of _NO_FAULTS.
+        """
+        self._faults = {**_NO_FAULTS, **faults}
 
     def start(self):
-        """Listen."""
+        """Start to listen."""
         self._server.start()
 
     def stop(self):
@@ -108,7 +119,7 @@
                     break
                 parser.feed_data(data)
                 if request.complete:
-                    if not self._answer(sock, request, parser):
+                    if not self._respond(sock, request, parser):
                         break
                     request = _Request()
                     parser = httptools.HttpRequestParser(request)
@@ -117,49 +128,55 @@
         finally:
             sock.close()
 
-    def _answer(self, sock, request, parser):
+    def _respond(self, sock, request, parser):
         path = request.url.decode()
         if path == "/_runs":
-            return _send(sock, 200, json.dumps(self._runs).encode())
+            return _send(
+                sock, 200, json.dumps(self._execution_counts).encode()
+            )
         if path == "/_fault":
             self.set_fault(**json.loads(request.body))
             return _send(sock, 200, b"{}")
         if path == "/healthz":
-            self._probes.append(time.monotonic())
-            if self._fault["fail"]:
-                return _send(sock, 500, b"", self._load())
-            return _send(sock, 200, b"{}", self._load())
-        if self._fault["refuse"] or self._fault["draining"]:
-            load = self._load() + "X-Not-Run: 1\r\n"
-            return _send(sock, 503, b"", load)
-        if self._fault["fail"]:
-            return _send(sock, 500, b"", self._load())
+            self._probe_times.append(time.monotonic())
+            if self._faults["fail"]:
+                return _send(sock, 500, b"", self._load_header())
+            return _send(sock, 200, b"{}", self._load_header())
+        if self._faults["refuse"] or self._faults["draining"]:
+            load_header = self._load_header() + "X-Not-Run: 1\r\n"
+            return _send(sock, 503, b"", load_header)
+        if self._faults["fail"]:
+            return _send(sock, 500, b"", self._load_header())
         self._in_flight += 1
         try:
             with self._slots:
-                body = self._run(sock, request, parser)
+                body = self._execute(sock, request, parser)
         finally:
             self._in_flight -= 1
-        if self._fault["silent"]:
-            _wait_for_close(sock, 3600)
-        if self._fault["garble"]:
+        if self._faults["silent"]:
+            _wait_unless_closed(sock, 3600)
+        if self._faults["garble"]:
             sock.sendall(b"\x00\x01garbled\r\n\r\n")
             return False
-        if self._fault["raw"]:
-            sock.sendall(self._fault["raw"].encode("latin-1"))
-            return not self._fault["close"]
-        if self._fault["truncate"]:
+        if self._faults["raw"]:
+            sock.sendall(self._faults["raw"].encode("latin-1"))
+            return not self._faults["close"]
+        if self._faults["truncate"]:
             sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\npart")
             return False
-        head = parser.get_method() == b"HEAD"
-        _send(sock, 200, body, self._load(), head=head)
-        return not self._fault["close"]
+        omit_body = parser.get_method() == b"HEAD"
+        _send(sock, 200, body, self._load_header(), omit_body=omit_body)
+        return not self._faults["close"]
 
-    def _run(self, sock, request, parser):
+    def _execute(self, sock, request, parser):
         request_id = request.headers.get(b"x-request-id", b"").decode()
-        self._runs[request_id] = self._runs.get(request_id, 0) + 1
+        self._execution_counts[request_id] = (
+            self._execution_counts.get(request_id, 0) + 1
+        )
         started = time.time()
-        _wait_for_close(sock, self._service + self._fault["delay_ms"] / 1000)
+        _wait_unless_closed(
+            sock, self._service_time_s + self._faults["delay_ms"] / 1000
+        )
         return json.dumps(
             {
                 "request_id": request_id,
@@ -170,19 +187,24 @@
             }
         ).encode()
 
-    def _load(self):
-        state = "draining" if self._fault["draining"] else "ready"
+    def _load_header(self):
+        state = "draining" if self._faults["draining"] else "ready"
         return (
             f"Backend-Load: in_flight={self._in_flight}, "
             f"slots={self._slot_count}, state={state}\r\n"
         )
 
 
-def _wait_for_close(sock, seconds):
-    """Wait; a caller that closes its connection cancels the request."""
+def _wait_unless_closed(sock, seconds):
+    """Wait for a number of seconds unless the peer closes the connection.
+
+    Raises:
+      ConnectionResetError: the peer closed the connection, which cancels the
+        request.
+    """
     if seconds <= 0:
         return
-    ends = time.monotonic() + seconds
+    deadline = time.monotonic() + seconds
     try:
         socket.wait_read(
             sock.fileno(), timeout=seconds, timeout_exc=TimeoutError
@@ -191,15 +213,15 @@
         return
     if not sock.recv(1, socket.MSG_PEEK):
         raise ConnectionResetError("cancelled")
-    gevent.sleep(max(0.0, ends - time.monotonic()))
+    gevent.sleep(max(0.0, deadline - time.monotonic()))
 
 
-def _send(sock, status, body, headers="", head=False):
+def _send(sock, status, body, headers="", omit_body=False):
     sock.sendall(
         (
             f"HTTP/1.1 {status} Status\r\nContent-Length: {len(body)}\r\n"
             f"Content-Type: application/json\r\n{headers}\r\n"
         ).encode()
-        + (b"" if head else body)
+        + (b"" if omit_body else body)
     )
     return True
--- a/wigeonrouter/standins/main.py
+++ b/wigeonrouter/standins/main.py
@@ -1,4 +1,4 @@
-"""Command that runs one stand-in as a process."""
+"""Command that runs stand-ins as a process."""
 
 from gevent import monkey
 
@@ -16,14 +16,14 @@
 
 @click.group()
 def main():
-    """Run small stand-ins for the platform in tests and demonstrations."""
+    """Run stand-ins for the platform in tests and demonstrations."""
 
 
 @main.command()
 @click.option("--address", required=True, help="IP number and port")
 @click.option("--vms", default="[]", help="VM list as JSON")
 def store(address, vms):
-    """Run the key-value service and the VM list."""
+    """Run a stand-in for the key-value service and the VM list."""
     standins.StoreStandin(
         address=core.parse_address(address),
         vms=[store_pb2.Vm(**vm) for vm in json.loads(vms)],
@@ -36,7 +36,7 @@
 @click.option("--slots", default=2, show_default=True)
 @click.option("--service-ms", default=5.0, show_default=True)
 def backend(addresses, slots, service_ms):
-    """Run one backend server for each address."""
+    """Run one stand-in for a backend server at each address."""
     for address in addresses:
         standins.BackendStandin(
             address=core.parse_address(address),
