--- a/wigeonrouter/soak/_checks.py
+++ b/wigeonrouter/soak/_checks.py
@@ -128,13 +128,13 @@
         response = request.reply
         if response is None or response.status != 200:
             continue
-        ran = {
+        executed_by = {
             execution.instance for execution in executions[request.request_id]
         }
         if (
             response.body != f"body of {request.target}".encode()
             or response.request_id != request.request_id
-            or response.instance not in ran
+            or response.instance not in executed_by
         ):
             yield _violation("response complete and matching", str(request))
 
@@ -195,11 +195,11 @@
     The time bound holds for undisturbed nodes. A version is not rolled back
     as long as the process lives.
     """
-    has = {}
+    first_found_at = {}
     for probe in sorted(observations.probes, key=lambda probe: probe.sent):
         key = (probe.node, probe.incarnation, probe.version)
         if probe.found:
-            has.setdefault(key, probe.sent)
+            first_found_at.setdefault(key, probe.sent)
             continue
         if probe.found is None:
             continue
@@ -208,7 +208,10 @@
             observations, probe.node, probe.acknowledged, probe.sent
         ):
             yield _violation("configuration applied in time", str(probe))
-        if key in has and probe.sent > has[key] + ROLLBACK_SLACK_S:
+        if (
+            key in first_found_at
+            and probe.sent > first_found_at[key] + ROLLBACK_SLACK_S
+        ):
             yield _violation("configuration not rolled back", str(probe))
 
 
@@ -257,7 +260,7 @@
     None is started later than CANCELLATION_BOUND_S after the disconnection.
     """
     executions = _executions_by_id(observations)
-    due, ended = 0, 0
+    expected, cancelled = 0, 0
     for request in observations.requests:
         if request.end is not _records.End.LEFT or not request.idempotent:
             continue
@@ -281,10 +284,12 @@
             )
             if ended_at is None or not undisturbed:
                 continue
-            due += 1
-            ended += ended_at <= request.ended + CANCELLATION_BOUND_S
-    if due >= 8 and ended < MIN_CANCELLED_SHARE * due:
-        yield _violation("abandoned requests cancelled", f"{ended} of {due}")
+            expected += 1
+            cancelled += ended_at <= request.ended + CANCELLATION_BOUND_S
+    if expected >= 8 and cancelled < MIN_CANCELLED_SHARE * expected:
+        yield _violation(
+            "abandoned requests cancelled", f"{cancelled} of {expected}"
+        )
 
 
 @check
--- a/wigeonrouter/soak/_faults.py
+++ b/wigeonrouter/soak/_faults.py
@@ -207,7 +207,7 @@
 
 @fault_kind
 def one_peer_link(environment, rng):
-    """Partitions one node from one other node, in one or both directions."""
+    """Partitions the connections that one node opens to one other node."""
     (node,) = rng.sample(environment.fleet.nodes, 1)
     if node.peer_proxies:
         proxy = rng.choice(list(node.peer_proxies.values()))
