--- a/wigeonrouter/node/_balancer.py
+++ b/wigeonrouter/node/_balancer.py
@@ -84,7 +84,9 @@
         rejection = self._check_admission(request, service_time, now)
         if rejection is not None:
             return rejection
-        poll = min(_MAX_POLL_S, max(_MIN_POLL_S, _POLL_SHARE * service_time))
+        poll_interval = min(
+            _MAX_POLL_S, max(_MIN_POLL_S, _POLL_SHARE * service_time)
+        )
         waiter = event.Event()
         self._queue.add(waiter, request, service_time)
         try:
@@ -99,7 +101,7 @@
                     ):
                         self._late_rate.record(now)
                     return grant
-                waiter.wait(timeout=poll)
+                waiter.wait(timeout=poll_interval)
                 waiter.clear()
                 rejection = self._check_still_admissible(
                     request, service_time, self._clock()
@@ -233,10 +235,10 @@
         )
         if pick.view is not None and not pick.should_wait:
             return self._server_pool.grant(pick, service_time)
-        remote = self._choose_remote(request, service_time)
+        remote_pick = self._choose_remote(request, service_time)
         now = self._clock()
-        if remote.view is not None:
-            waiting = placement.utility_of_waiting(
+        if remote_pick.view is not None:
+            waiting_utility = placement.utility_of_waiting(
                 request=request,
                 service_time=service_time,
                 mean_slowdown=self._server_pool.service_times.mean_slowdown,
@@ -244,8 +246,10 @@
                 ahead=self._queue.count_ahead(request, service_time, now) - 1,
                 slots=self._server_pool.slots,
             )
-            if remote.expected_utility > max(pick.expected_utility, waiting):
-                return self._server_pool.grant(remote, service_time)
+            if remote_pick.expected_utility > max(
+                pick.expected_utility, waiting_utility
+            ):
+                return self._server_pool.grant(remote_pick, service_time)
         late = placement.is_late(request, service_time=service_time, now=now)
         if pick.view is not None and late:
             return self._server_pool.grant(pick, service_time)
--- a/wigeonrouter/platform/conftest.py
+++ b/wigeonrouter/platform/conftest.py
@@ -66,8 +66,8 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class CallerResponse:
-    """A response that a caller received, after `seconds`."""
+class TimedResponse:
+    """A response that a caller received, and its latency in seconds."""
 
     status: int
     body: bytes
@@ -92,7 +92,7 @@
         request_id=None,
         host=HOST,
     ):
-        """Send a request and return the CallerResponse.
+        """Send a request and return the TimedResponse.
 
         `remaining` is the request's deadline in ms.
         """
@@ -113,7 +113,7 @@
                 "Deadline-Ms": str(remaining),
             },
         )
-        result = CallerResponse(
+        result = TimedResponse(
             status=response.status_code,
             body=bytes(response.read()),
             headers={k.lower(): v for k, v in response.items()},
--- a/wigeonrouter/topology/_region.py
+++ b/wigeonrouter/topology/_region.py
@@ -141,7 +141,7 @@
     """Return the home nodes of a service, the first one first.
 
     Only nodes with more than half of the largest capacity are considered, so
-    that most requests do not go to the smallest machines.
+    that most requests do not go to the smallest VMs.
 
     Args:
       service: name of the service.
--- a/wigeonrouter/topology/_region_test.py
+++ b/wigeonrouter/topology/_region_test.py
@@ -95,7 +95,7 @@
 
 
 def test_homes_are_ready_and_of_large_capacity():
-    """Guards against sending a region's callers to its smallest machine."""
+    """Guards against sending a region's callers to its smallest VM."""
     peers = [
         peer("a", ready=False),
         peer("b", capacity=430),
