--- a/wigeonrouter/bench/_capacity.py
+++ b/wigeonrouter/bench/_capacity.py
@@ -1,4 +1,7 @@
-"""The subcommand capacity: measures the slopes of docs/CAPACITY.md."""
+"""Command that measures resource use per unit of size for docs/CAPACITY.md.
+
+Each resource is measured at three sizes, and a line is fitted to them.
+"""
 
 import json
 import os
@@ -18,12 +21,12 @@
 from wigeonrouter.bench import _processes
 from wigeonrouter.schema import settings_pb2
 
-_STORE = "127.0.0.1:27500"
-_BACKENDS = [f"127.0.0.1:{port}" for port in range(27510, 27518)]
+_STORE_ADDRESS = "127.0.0.1:27500"
+_BACKEND_ADDRESSES = [f"127.0.0.1:{port}" for port in range(27510, 27518)]
 _PORTS = (27520, 27521, 27522)
-_ADMIN = f"127.0.0.1:{_PORTS[1]}"
+_ADMIN_ADDRESS = f"127.0.0.1:{_PORTS[1]}"
 _PLACE = core.Place(region="region-0", failure_domain="domain-0")
-_SIZES = {
+_SIZES_BY_PART = {
     "replica": (200, 600, 1700),
     "gossip": (50, 200, 800),
     "entries": (50, 200, 800),
@@ -33,22 +36,23 @@
     "node-roster": (15, 50, 150),
 }
 _CONNECTIONS = (4, 16, 64)
-_LOADS = (
+# Title, port, request target and number of requests.
+_REQUEST_TYPES = (
     ("requests", _PORTS[0], "/load?n=1", 3000),
     ("entry queries", _PORTS[1], "/v1/entries?service=/load", 3000),
 )
 _IDLE_CONNECTIONS = (100, 300, 900)
-_TREES = (200, 600, 1700)
+_SERVICE_COUNTS = (200, 600, 1700)
 _SERVICES_PER_CHANGE = 100
-_TICK_S = 1 / os.sysconf("SC_CLK_TCK")
+_CLOCK_TICK_S = 1 / os.sysconf("SC_CLK_TCK")
 
 
 @click.command()
 @click.option("--repeat", default=3, show_default=True)
-@click.option("--node", is_flag=True, help="Only the node's parts.")
+@click.option("--node", is_flag=True, help="Only the measurements of a node.")
 def capacity(repeat, node=False):
-    """Measure the slopes that docs/CAPACITY.md is worked out from."""
-    for part, sizes in _SIZES.items():
+    """Measure the slopes from which docs/CAPACITY.md is calculated."""
+    for part, sizes in _SIZES_BY_PART.items():
         if node and not part.startswith("node-"):
             continue
         rows = [_run_part(part, size, repeat) for size in sizes]
@@ -56,32 +60,34 @@
     if node:
         return
     with _processes.Fleet() as fleet:
-        _start(fleet)
-        for title, port, target, count in _LOADS:
+        _start_processes(fleet)
+        for title, port, target, count in _REQUEST_TYPES:
             rows = [
-                _best(repeat, _measure_http, fleet, port, target, n, count)
+                _minimum_of_runs(
+                    repeat, _measure_http, fleet, port, target, n, count
+                )
                 for n in _CONNECTIONS
             ]
             _print(f"{title} by connections", _CONNECTIONS, rows)
         rows = [_measure_idle(fleet, n) for n in _IDLE_CONNECTIONS]
         _print("idle caller connections", _IDLE_CONNECTIONS, rows)
         rows, services = [], 0
-        for size in _TREES:
-            _grow_tree(services, size)
+        for size in _SERVICE_COUNTS:
+            _add_services(services, size)
             services = size
-            rows.append(_best(repeat, _measure_start, fleet))
-        _print("start by services", _TREES, rows)
+            rows.append(_minimum_of_runs(repeat, _measure_daemon_start, fleet))
+        _print("start by services", _SERVICE_COUNTS, rows)
 
 
 @click.command("capacity-part", hidden=True)
 @click.argument("part", type=click.Choice(sorted(_capacity_parts.PARTS)))
 @click.argument("size", type=int)
 def capacity_part(part, size):
-    """Measure one size in this process and print JSON."""
+    """Run one measurement in this process and print its results as JSON."""
     click.echo(json.dumps(_capacity_parts.PARTS[part](size)))
 
 
-def fit(sizes, values):
+def fit_line(sizes, values):
     """Return (slope, constant) of a least-squares line."""
     line = statistics.linear_regression(sizes, values)
     return line.slope, line.intercept
@@ -90,33 +96,38 @@
 def _print(title, sizes, rows):
     click.echo(f"\n{title}")
     for size, row in zip(sizes, rows, strict=True):
-        shown = ", ".join(f"{k}={v:.6g}" for k, v in row.items())
-        click.echo(f"  {size:6}: {shown}")
+        values_text = ", ".join(f"{k}={v:.6g}" for k, v in row.items())
+        click.echo(f"  {size:6}: {values_text}")
     for name in rows[0]:
-        slope, constant = fit(sizes, [row[name] for row in rows])
+        slope, constant = fit_line(sizes, [row[name] for row in rows])
         click.echo(f"  {name}: {slope:.4g} each + {constant:.4g}")
 
 
 def _run_part(part, size, repeat):
     command = [sys.executable, "-m", "wigeonrouter.bench.main"]
     command += ["capacity-part", part, str(size)]
-    return _best(repeat, lambda: json.loads(subprocess.check_output(command)))
+    return _minimum_of_runs(
+        repeat, lambda: json.loads(subprocess.check_output(command))
+    )
+
 
+def _minimum_of_runs(repeat, function, *arguments):
+    """Return the minimum of each value over repeated runs.
 
-def _best(repeat, function, *arguments):
-    """Return the smallest of each number; other load only adds to them."""
+    Other load on the machine can only increase the values.
+    """
     rows = [function(*arguments) for _ in range(repeat)]
     return {name: min(row[name] for row in rows) for name in rows[0]}
 
 
-def _start(fleet):
-    fleet.start_store(_STORE)
-    fleet.start_backends("backends", _BACKENDS, service_ms=0)
+def _start_processes(fleet):
+    fleet.start_store(_STORE_ADDRESS)
+    fleet.start_backends("backends", _BACKEND_ADDRESSES, service_ms=0)
     fleet.start_daemon(
         daemon_id="entry-1",
         place=_PLACE,
         ports=_PORTS,
-        store=_STORE,
+        store=_STORE_ADDRESS,
         entry_ttl_ms=100,
         log={"lines_per_second": 1},
     )
@@ -124,7 +135,7 @@
     node.settings.match.path_prefixes.append("/load")
     node.settings.kinds["read"].idempotent = True
     node.settings.limits.connections_per_server = 64
-    for index, address in enumerate(_BACKENDS):
+    for index, address in enumerate(_BACKEND_ADDRESSES):
         server = node.settings.groups["all"].servers[f"s{index}"]
         server.address = address
         server.region = _PLACE.region
@@ -136,7 +147,8 @@
 def _put(path, node):
     body = json_format.MessageToJson(node, preserving_proto_field_name=True)
     request = urllib.request.Request(
-        f"http://{_ADMIN}/v1/config?path={path}&change_id={time.time_ns()}",
+        f"http://{_ADMIN_ADDRESS}/v1/config?path={path}"
+        f"&change_id={time.time_ns()}",
         data=body.encode(),
         headers={"Authorization": f"Bearer {_processes.TOKEN}"},
         method="PUT",
@@ -146,7 +158,7 @@
 
 
 def _measure_http(fleet, port, target, connections, count):
-    """Measure processor time of the daemon per answered request."""
+    """Measure the daemon's processor time and the wall time per request."""
     clients = [
         geventhttpclient.HTTPClient("127.0.0.1", port)
         for _ in range(connections)
@@ -154,39 +166,39 @@
 
     def call(client):
         for _ in range(count // connections):
-            answer = client.get(target)
-            answer.read()
-            if answer.status_code != 200:
-                raise click.ClickException(f"status {answer.status_code}")
+            response = client.get(target)
+            response.read()
+            if response.status_code != 200:
+                raise click.ClickException(f"status {response.status_code}")
 
-    before, started = _cpu(fleet), time.monotonic()
+    before, started = _cpu_seconds(fleet), time.monotonic()
     pool.Pool(connections).map(call, clients)
-    seconds, wall = _cpu(fleet) - before, time.monotonic() - started
+    seconds, wall = _cpu_seconds(fleet) - before, time.monotonic() - started
     for client in clients:
         client.close()
-    answered = count // connections * connections
+    request_count = count // connections * connections
     return {
-        "cpu_s_per_request": seconds / answered,
-        "wall_s_per_request": wall / answered,
+        "cpu_s_per_request": seconds / request_count,
+        "wall_s_per_request": wall / request_count,
     }
 
 
 def _measure_idle(fleet, connections):
-    before = _resident(fleet)
+    before = _resident_bytes(fleet)
     clients = [
         geventhttpclient.HTTPClient("127.0.0.1", _PORTS[0])
         for _ in range(connections)
     ]
     for client in clients:
         client.get("/load?n=1").read()
-    held = _resident(fleet) - before
+    added_bytes = _resident_bytes(fleet) - before
     for client in clients:
         client.close()
-    return {"resident_bytes": held}
+    return {"resident_bytes": added_bytes}
 
 
-def _grow_tree(first, last):
-    """Accept changes until the tree holds a number of services."""
+def _add_services(first, last):
+    """Add services to the settings tree, from number first up to last."""
     for start in range(first, last, _SERVICES_PER_CHANGE):
         node = settings_pb2.Node()
         for number in range(start, min(last, start + _SERVICES_PER_CHANGE)):
@@ -196,29 +208,29 @@
         _put(f"/team-{start}", node)
 
 
-def _measure_start(fleet):
-    """Measure from the start of a process to its readiness."""
+def _measure_daemon_start(fleet):
+    """Measure time until a started daemon is ready, and its memory."""
     ports = tuple(port + 10 for port in _PORTS)
     started = time.monotonic()
     fleet.start_daemon(
         daemon_id="entry-2",
         place=_PLACE,
         ports=ports,
-        store=_STORE,
+        store=_STORE_ADDRESS,
         entry_ttl_ms=100,
     )
     seconds = time.monotonic() - started
-    held = _resident(fleet, "entry-2")
+    resident = _resident_bytes(fleet, "entry-2")
     fleet.end("entry-2")
-    return {"ready_s": seconds, "resident_bytes": held}
+    return {"ready_s": seconds, "resident_bytes": resident}
 
 
-def _cpu(fleet, name="entry-1"):
+def _cpu_seconds(fleet, name="entry-1"):
     with open(f"/proc/{fleet.pid(name)}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) * _TICK_S
+    return (int(fields[11]) + int(fields[12])) * _CLOCK_TICK_S
 
 
-def _resident(fleet, name="entry-1"):
+def _resident_bytes(fleet, name="entry-1"):
     with open(f"/proc/{fleet.pid(name)}/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * 4096
--- a/wigeonrouter/bench/_capacity_parts.py
+++ b/wigeonrouter/bench/_capacity_parts.py
@@ -1,8 +1,8 @@
-"""Measurements behind docs/CAPACITY.md, one function for each role.
+"""Measures resource use of single components for docs/CAPACITY.md.
 
-Every function takes one size and returns a dict of numbers. Sizes are
-measured in processes of their own, so that memory that the allocator keeps
-from an earlier size does not count.
+Every function takes one size and returns a dict of numbers. Each size is
+measured in a separate process, so that memory that the allocator retains from
+an earlier size is not counted.
 """
 
 import functools
@@ -18,7 +18,7 @@
 from wigeonrouter.schema import peer_pb2
 from wigeonrouter.schema import settings_pb2
 
-# 15,000 upstreams in 1,700 services.
+# About the ratio of 15,000 backend servers to 1,700 services.
 UPSTREAMS_PER_SERVICE = 9
 _TEAMS = 40
 _REGIONS = 8
@@ -27,7 +27,7 @@
 
 
 def measure_replica(services):
-    """Measure the configuration replica with a number of services."""
+    """Measure the configuration replica of a daemon with some services."""
     root = build_tree(services)
     snapshot = settings_pb2.Snapshot(revision=1, root=root)
     data = snapshot.SerializeToString()
@@ -35,88 +35,91 @@
     before = _measuring.resident_bytes()
     replica = configuration.Replica()
     handler = request_path.RequestHandler(
-        place=_place(0),
-        own_member=lambda: _member(0),
+        place=_make_place(0),
+        own_member=lambda: _make_member(0),
         claim_from_peer=None,
         observe=lambda record: None,
     )
     replica.subscribe(lambda source: handler.reconfigure(source.services))
-    load = _measuring.cpu_seconds(
+    load_cpu_s = _measuring.cpu_seconds(
         lambda: replica.load_snapshot(settings_pb2.Snapshot.FromString(data))
     )
-    held = _measuring.resident_bytes() - before
+    added_bytes = _measuring.resident_bytes() - before
     changes = [
         settings_pb2.LogEntry(
             revision=number + 2,
             change_id=f"c{number}",
-            changes=[_change(number, services)],
+            changes=[_make_change(number, services)],
         )
         for number in range(_CHANGES)
     ]
-    apply = _measuring.cpu_seconds(
+    apply_cpu_s = _measuring.cpu_seconds(
         lambda: [replica.apply_entries((entry,)) for entry in changes]
     )
     return {
         "upstreams": services * UPSTREAMS_PER_SERVICE,
         "snapshot_bytes": len(data),
-        "resident_bytes": held,
-        "load_cpu_s": load,
-        "change_cpu_s": apply / _CHANGES,
+        "resident_bytes": added_bytes,
+        "load_cpu_s": load_cpu_s,
+        "change_cpu_s": apply_cpu_s / _CHANGES,
         "change_bytes": changes[0].ByteSize(),
     }
 
 
 def measure_gossip(members):
-    """Measure exchanges between daemons that know some members.
+    """Measure gossip exchanges between daemons with some members.
 
-    A whole table is sent when a daemon joins or tables differ; an idle
-    exchange is what each daemon does once a second.
+    The full member table is sent when a daemon joins or tables differ. Each
+    daemon makes an exchange without updates once per second.
     """
     before = _measuring.resident_bytes()
-    first, second = _gossip(members, 0), _gossip(members, 1)
-    held = (_measuring.resident_bytes() - before) / 2
-    empty = peer_pb2.GossipMessage(sender=_full_message(members).sender)
-    # Updates ride on a bounded number of messages.
-    while (idle := first.Exchange(empty, None)).members:
+    first, second = _make_gossip(members, 0), _make_gossip(members, 1)
+    added_bytes = (_measuring.resident_bytes() - before) / 2
+    empty = peer_pb2.GossipMessage(sender=_make_full_message(members).sender)
+    # Each update is piggybacked on a limited number of messages; exchange
+    # messages until none is left.
+    while (idle_message := first.Exchange(empty, None)).members:
         pass
-    whole = first.Exchange(_full_message(members), None)
+    full_message = first.Exchange(_make_full_message(members), None)
     return {
-        "whole_bytes": whole.ByteSize(),
+        "whole_bytes": full_message.ByteSize(),
         "whole_cpu_s": _measuring.cpu_seconds_each(
-            lambda: second.Exchange(whole, None)
+            lambda: second.Exchange(full_message, None)
         ),
-        "idle_bytes": idle.ByteSize(),
+        "idle_bytes": idle_message.ByteSize(),
         "idle_cpu_s": _measuring.cpu_seconds_each(
-            lambda: second.Exchange(idle, None)
+            lambda: second.Exchange(idle_message, None)
         ),
-        "resident_bytes": held,
+        "resident_bytes": added_bytes,
     }
 
 
 def measure_entries(members):
-    """Measure the choice of an entry answer among some members."""
-    known = tuple(_member(number) for number in range(members))
+    """Measure the choice of an entry response among some members."""
+    member_tuple = tuple(_make_member(number) for number in range(members))
     service = core.EffectiveService(
         name="/team-1/service-1",
         match=core.MatchSettings(),
         routing=core.RoutingSettings(homes=2),
     )
     rng = random.Random(1)
-    planner = entries.EntryRankingCache()
-    query = {"service": service, "place": _place(1), "rng": rng}
+    ranking_cache = entries.EntryRankingCache()
+    query = {"service": service, "place": _make_place(1), "rng": rng}
     return {
         "choose_cpu_s": _measuring.cpu_seconds_each(
-            lambda: entries.choose_entries(members=known, **query)
+            lambda: entries.choose_entries(members=member_tuple, **query)
         ),
-        # A daemon builds a new tuple of its members for each query.
+        # As in a daemon, each query has a new tuple of the same members.
         "choose_kept_cpu_s": _measuring.cpu_seconds_each(
-            lambda: planner.choose(members=tuple(list(known)), **query)
+            lambda: ranking_cache.choose(
+                members=tuple(list(member_tuple)), **query
+            )
         ),
     }
 
 
 def build_tree(services):
-    """Return a settings_pb2.Node with services spread over teams."""
+    """Return a settings_pb2.Node whose services are spread over teams."""
     root = settings_pb2.Node()
     for number in range(services):
         team = root.children[f"team-{number % _TEAMS}"]
@@ -125,7 +128,7 @@
 
 
 def fill_service(node, number):
-    """Make a node a service with its upstreams."""
+    """Write the settings of a service and its backend servers to a node."""
     settings = node.settings
     settings.match.service_header = f"service-{number}"
     settings.kinds["read"].idempotent = True
@@ -133,7 +136,7 @@
     group = settings.groups["all"]
     for index in range(UPSTREAMS_PER_SERVICE):
         host = number * UPSTREAMS_PER_SERVICE + index
-        place = _place(host)
+        place = _make_place(host)
         server = group.servers[f"vm-{host}"]
         server.address = f"10.{host >> 16}.{host >> 8 & 255}.{host & 255}:8080"
         server.region = place.region
@@ -141,7 +144,7 @@
         server.slots = 2
 
 
-def _change(number, services):
+def _make_change(number, services):
     path_number = number * 7 % services
     node = settings_pb2.Node()
     fill_service(node, path_number)
@@ -151,23 +154,23 @@
     )
 
 
-def _gossip(members, own):
+def _make_gossip(members, own_number):
     gossip = membership.Gossip(
-        own=_member(own),
+        own=_make_member(own_number),
         seeds=(),
         replica=configuration.Replica(),
-        rng=random.Random(own),
+        rng=random.Random(own_number),
         claim_handler=None,
     )
-    gossip.Exchange(_full_message(members), None)
+    gossip.Exchange(_make_full_message(members), None)
     return gossip
 
 
 @functools.cache
-def _full_message(members):
+def _make_full_message(members):
     records = []
     for number in range(members):
-        member = _member(number)
+        member = _make_member(number)
         records.append(
             peer_pb2.MemberRecord(
                 daemon_id=member.daemon_id,
@@ -185,20 +188,20 @@
     )
 
 
-def _member(number):
+def _make_member(number):
     host = f"10.200.{number >> 8}.{number & 255}"
     return core.Member(
         daemon_id=f"entry-{number}",
         incarnation=1_796_367_332_663,
         state=core.MemberState.ALIVE,
-        place=_place(number),
+        place=_make_place(number),
         caller_address=core.Address(host=host, port=8000),
         admin_address=core.Address(host=host, port=8001),
         peer_address=core.Address(host=host, port=8002),
     )
 
 
-def _place(number):
+def _make_place(number):
     domain = number % _FAILURE_DOMAINS
     return core.Place(
         region=f"region-{domain % _REGIONS}",
--- a/wigeonrouter/bench/_control.py
+++ b/wigeonrouter/bench/_control.py
@@ -1,4 +1,4 @@
-"""Measures what control costs one node, and how fast changes spread."""
+"""Measures control-plane overhead per daemon and propagation of changes."""
 
 import collections
 import dataclasses
@@ -27,15 +27,16 @@
 from wigeonrouter.membership import _codec
 from wigeonrouter.schema import settings_pb2
 
+# Changes of operators at the target size.
 CHANGES_PER_DAY = 70_000
 _DAY_S = 86_400
 _LOOPBACK = core.Address(host="127.0.0.1", port=0)
 _PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
-# Services of one team share a parent, as operators' trees do.
+# Services of one team share a parent, as in the settings of operators.
 _SERVICES_PER_TEAM = 20
-_REPEATS = 100
-_START_ATTEMPTS = 100
-# Time for which the start of a daemon may still cost processor time.
+_REPEAT_COUNT = 100
+_MAX_WRITE_ATTEMPTS = 100
+# Time during which a new daemon may still use processor time for its start.
 _SETTLE_S = 5.0
 
 
@@ -47,27 +48,28 @@
 @click.option("--seconds", default=20.0, show_default=True, help="per size")
 @click.option("--seed", default=1, show_default=True)
 def control(sizes, tables, trees, processes, seconds, seed):
-    """Print processor time, memory, bytes and spreading time of control.
+    """Print control-plane processor time, memory, traffic and propagation.
 
-    Sizes are numbers of daemons that really call each other, tables are
-    numbers of simulated members, and trees are services:upstreams. The last
-    tree is loaded into daemons that are processes of their own.
+    Sizes are numbers of daemons that run in one process and call each other.
+    Tables are numbers of simulated members. Trees are services:upstreams,
+    where upstreams are backend servers. The last tree is loaded into daemons
+    that run as separate processes.
     """
     for size in map(int, sizes.split(",")):
         measure_daemons(size, seconds, seed)
     for size in map(int, tables.split(",")):
         measure_table(size, seed)
     for tree in trees.split(","):
-        # A process of its own, so that memory of an earlier size that was
-        # not returned does not count.
+        # Runs in a separate process, so that memory that the allocator
+        # retains from an earlier size is not counted.
         subprocess.run(
             [sys.executable, "-m", __name__, *tree.split(":")], check=True
         )
     measure_processes(processes, *map(int, tree.split(":")), seconds)
 
 
-def emit(name, value, unit):
-    """Print one result line."""
+def print_result(name, value, unit):
+    """Print one result line with the bound of its name."""
     _result_lines.write_line(
         name=name,
         value=value,
@@ -77,23 +79,23 @@
 
 
 def measure_daemons(size, seconds, seed):
-    """Let daemons gossip while operators change settings.
+    """Measure gossip without and with settings changes by operators.
 
-    The changes of a day are as frequent as at the target size. Processor
-    time covers both sides of all calls and the store stand-in.
+    Changes arrive at the mean rate of a deployment of the target size.
+    Processor time includes both sides of all calls and the store stand-in.
     """
     store = standins.StoreStandin(address=_LOOPBACK)
     store.start()
-    nodes = _in_process_daemons.InProcessDaemons(store.port)
+    daemons = _in_process_daemons.InProcessDaemons(store.port)
     rng = random.Random(seed)
     try:
-        fleet = nodes.start_fleet(
+        fleet = daemons.start_fleet(
             [(f"r{n % 3}", f"{n % 2}") for n in range(size)]
         )
         for changes in (False, True):
             _measure_interval(fleet, store, rng, seconds, changes)
     finally:
-        nodes.stop()
+        daemons.stop()
         store.stop()
 
 
@@ -103,11 +105,11 @@
     before = _sum_counts(fleet)
     calls = store.call_counts
     started, cpu = time.monotonic(), time.process_time()
-    spreads = []
+    propagation_times = []
     if changes:
-        ends = started + seconds
-        while time.monotonic() < ends:
-            spreads.append(_spread_one(fleet, rng))
+        deadline = started + seconds
+        while time.monotonic() < deadline:
+            propagation_times.append(_measure_propagation(fleet, rng))
             gevent.sleep(rng.expovariate(CHANGES_PER_DAY / _DAY_S))
     else:
         gevent.sleep(seconds)
@@ -116,42 +118,54 @@
     counts = _sum_counts(fleet)
     counts.subtract(before)
     name = f"daemons.{size}.{kind}"
-    emit(f"{name}.cpu_per_node", 100 * cpu / elapsed / size, "% of a core")
+    print_result(
+        f"{name}.cpu_per_node", 100 * cpu / elapsed / size, "% of a core"
+    )
     for direction in ("in", "out"):
-        emit(
+        print_result(
             f"{name}.bytes_{direction}_per_node",
             counts[f"bytes_{direction}"] / elapsed / size,
             "B/s",
         )
-    emit(f"{name}.calls_per_node", counts["calls"] / elapsed / size, "1/s")
-    emit(
+    print_result(
+        f"{name}.calls_per_node", counts["calls"] / elapsed / size, "1/s"
+    )
+    print_result(
         f"{name}.store_calls",
         (sum(store.call_counts.values()) - sum(calls.values())) / elapsed,
         "1/s",
     )
-    if spreads:
-        answers, lasts = zip(*spreads, strict=True)
-        emit(f"{name}.accept_median", 1e3 * statistics.median(answers), "ms")
-        emit(f"{name}.last_daemon_median", statistics.median(lasts), "s")
-        emit(f"{name}.last_daemon_max", max(lasts), "s")
-        emit(f"{name}.changes", len(spreads), "1")
+    if propagation_times:
+        accept_times, last_daemon_times = zip(*propagation_times, strict=True)
+        print_result(
+            f"{name}.accept_median",
+            1e3 * statistics.median(accept_times),
+            "ms",
+        )
+        print_result(
+            f"{name}.last_daemon_median",
+            statistics.median(last_daemon_times),
+            "s",
+        )
+        print_result(f"{name}.last_daemon_max", max(last_daemon_times), "s")
+        print_result(f"{name}.changes", len(propagation_times), "1")
 
 
 def _sum_counts(fleet):
     counts = collections.Counter()
-    for node in fleet:
-        counts.update(node.gossip.counts)
+    for daemon in fleet:
+        counts.update(daemon.gossip.counts)
     return counts
 
 
-def _spread_one(fleet, rng):
-    """Accept a change.
+def _measure_propagation(fleet, rng):
+    """Accept one change and wait until all daemons have it.
 
     Returns:
-      A pair of seconds: until the operator's answer, and until the last
-      daemon has the change, both from the call.
+      A pair of seconds since the call: until the operator's response, and
+      until the last daemon has the change.
     """
-    node = rng.choice(fleet)
+    daemon = rng.choice(fleet)
     changed = settings_pb2.Settings()
     changed.match.service_header = f"s{rng.randrange(100)}"
     for number in range(9):
@@ -162,11 +176,11 @@
         path=f"/{changed.match.service_header}", settings=changed
     )
     started = time.monotonic()
-    entry, _ = node.replication.accept(
+    entry, _ = daemon.replication.accept(
         configuration.Proposal(
             change_id=f"{rng.getrandbits(64):x}",
             author="operator",
-            base_revision=node.replica.revision,
+            base_revision=daemon.replica.revision,
             changes=(change,),
         )
     ).unwrap()
@@ -177,8 +191,8 @@
 
 
 def measure_table(size, seed):
-    """Measure messages and tables of a fleet of simulated members."""
-    members = [_member(number) for number in range(size)]
+    """Measure the member table and messages for some simulated members."""
+    members = [_make_member(number) for number in range(size)]
     tracemalloc.start()
     memory, _ = tracemalloc.get_traced_memory()
     table = membership.MemberTable(own=members[0])
@@ -187,26 +201,30 @@
     used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     name = f"table.{size}"
-    emit(f"{name}.memory", (used - memory) / 1e6, "MB")
+    print_result(f"{name}.memory", (used - memory) / 1e6, "MB")
     records = [_codec.member_to_message(member) for member in members]
-    emit(f"{name}.full", sum(r.ByteSize() for r in records) / 1e3, "kB")
+    print_result(
+        f"{name}.full", sum(r.ByteSize() for r in records) / 1e3, "kB"
+    )
     rng = random.Random(seed)
     updates = []
 
-    def absorb():
-        table.merge(_refuted(table.find(f"d{rng.randrange(1, size)}")))
+    def apply_update():
+        table.merge(
+            _with_next_incarnation(table.find(f"d{rng.randrange(1, size)}"))
+        )
         updates.append(len(table.take_updates()))
         return table.digest
 
-    emit(f"{name}.change", 1e3 * _cpu_time(absorb), "ms")
-    emit(f"{name}.sends_per_update", table.retransmit_limit, "1")
+    print_result(f"{name}.change", 1e3 * _cpu_time(apply_update), "ms")
+    print_result(f"{name}.sends_per_update", table.retransmit_limit, "1")
 
 
-def _refuted(member):
+def _with_next_incarnation(member):
     return dataclasses.replace(member, incarnation=member.incarnation + 1)
 
 
-def _member(number):
+def _make_member(number):
     address = core.Address(host="10.1.2.3", port=1000 + number)
     region = f"r{number % 8}"
     return core.Member(
@@ -224,7 +242,7 @@
 
 
 def measure_tree(services, upstreams):
-    """Measure one replica of a tree in this process."""
+    """Measure a replica of a settings tree in this process."""
     root = build_tree(services, upstreams)
     gc.collect()
     memory = resident_bytes()
@@ -233,16 +251,16 @@
     started = time.process_time()
     replica.load_snapshot(snapshot)
     name = f"tree.{services}.{upstreams}"
-    emit(f"{name}.load", 1e3 * (time.process_time() - started), "ms")
+    print_result(f"{name}.load", 1e3 * (time.process_time() - started), "ms")
     del snapshot
     gc.collect()
-    emit(f"{name}.memory", (resident_bytes() - memory) / 1e6, "MB")
-    emit(f"{name}.size", root.ByteSize() / 1e3, "kB")
-    entries = _service_changes(root, services, _REPEATS)
+    print_result(f"{name}.memory", (resident_bytes() - memory) / 1e6, "MB")
+    print_result(f"{name}.size", root.ByteSize() / 1e3, "kB")
+    entries = _make_service_changes(root, services, _REPEAT_COUNT)
     pending = iter(entries)
     cost = _cpu_time(lambda: replica.apply_entries((next(pending),)))
-    emit(f"{name}.apply", 1e3 * cost, "ms")
-    emit(
+    print_result(f"{name}.apply", 1e3 * cost, "ms")
+    print_result(
         f"{name}.entry",
         statistics.mean(entry.ByteSize() for entry in entries),
         "B",
@@ -252,8 +270,8 @@
             replica=replica, changes=entries[0].changes
         )
     )
-    emit(f"{name}.check", 1e3 * check, "ms")
-    emit(
+    print_result(f"{name}.check", 1e3 * check, "ms")
+    print_result(
         f"{name}.cpu",
         100 * cost * CHANGES_PER_DAY / _DAY_S,
         "% of a core for applying a day's changes",
@@ -261,7 +279,7 @@
 
 
 def measure_processes(count, services, upstreams, seconds):
-    """Measure whole daemon processes that serve no request."""
+    """Measure idle daemon processes."""
     with _processes.Fleet() as fleet:
         (store,) = _ports.free_addresses(1)
         ports = [_ports.free_ports(3) for _ in range(count)]
@@ -271,7 +289,7 @@
         )
         entry = settings_pb2.LogEntry(revision=1, change_id="tree")
         entry.changes.add(path="/", node=build_tree(services, upstreams))
-        _write_first(client, entry)
+        _write_first_entry(client, entry)
         for number in range(count):
             fleet.start_daemon(
                 daemon_id=f"d{number}",
@@ -291,13 +309,17 @@
             for pid, cpu in zip(pids, before, strict=True)
         ]
         name = f"processes.{count}.{services}.{upstreams}"
-        emit(f"{name}.cpu_max", 100 * max(used) / seconds, "% of a core")
-        emit(f"{name}.memory_max", max(map(resident_bytes, pids)) / 1e6, "MB")
+        print_result(
+            f"{name}.cpu_max", 100 * max(used) / seconds, "% of a core"
+        )
+        print_result(
+            f"{name}.memory_max", max(map(resident_bytes, pids)) / 1e6, "MB"
+        )
 
 
-def _write_first(client, entry):
-    """Write revision 1 once the store answers."""
-    for _ in range(_START_ATTEMPTS):
+def _write_first_entry(client, entry):
+    """Write revision 1, retrying until the store is available."""
+    for _ in range(_MAX_WRITE_ATTEMPTS):
         try:
             client.compare_and_swap(
                 key=configuration.log_key(1),
@@ -307,42 +329,42 @@
             return
         except store_api.StoreUnavailable:
             gevent.sleep(0.1)
-    raise click.ClickException("the store stand-in does not answer")
+    raise click.ClickException("store stand-in is unavailable")
 
 
 def _cpu_seconds(pid):
-    """Return the processor time of a process."""
+    """Return the processor time of a process in seconds."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
-    # Fields 14 and 15 of the whole line: user and system time.
+    # User and system time are fields 14 and 15 of the whole line.
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def build_tree(services, upstreams):
-    """Return a settings_pb2.Node like that of a large deployment."""
+    """Return a settings_pb2.Node that resembles a large deployment."""
     root = settings_pb2.Node()
     root.settings.limits.max_queue = 100
-    placed = 0
+    first_index = 0
     for number in range(services):
         team = root.children[f"team-{number // _SERVICES_PER_TEAM}"]
         service = team.children[f"service-{number}"].settings
         service.match.service_header = f"service-{number}"
         service.kinds["read"].idempotent = True
         service.kinds["read"].methods.append("GET")
-        ends = (number + 1) * upstreams // services
-        for index in range(placed, ends):
+        end_index = (number + 1) * upstreams // services
+        for index in range(first_index, end_index):
             server = service.groups["main"].servers[f"s{index}"]
             server.address = (
                 f"10.{index >> 16}.{index >> 8 & 255}.{index & 255}:8080"
             )
             server.region = f"r{index % 8}"
             server.failure_domain = f"r{index % 8}-{index % 4}"
-        placed = ends
+        first_index = end_index
     return root
 
 
-def _service_changes(root, services, count):
-    """Return the entries after revision 1 that change a service each."""
+def _make_service_changes(root, services, count):
+    """Return log entries from revision 2 on that each change one service."""
     entries = []
     for number in range(count):
         chosen = number * 7 % services
@@ -360,7 +382,7 @@
 def _cpu_time(function):
     """Return the median processor time of a call in seconds."""
     times = []
-    for _ in range(_REPEATS):
+    for _ in range(_REPEAT_COUNT):
         started = time.process_time()
         function()
         times.append(time.process_time() - started)
@@ -368,7 +390,7 @@
 
 
 def resident_bytes(pid="self"):
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process in bytes."""
     with open(f"/proc/{pid}/statm", encoding="ascii") as file:
         return int(file.read().split()[1]) * _PAGE_BYTES
 
--- a/wigeonrouter/bench/_generator.py
+++ b/wigeonrouter/bench/_generator.py
@@ -1,8 +1,8 @@
-"""Lean load generator: one process, one selector, no framework.
+"""Load generator with low overhead: one thread and one selector.
 
-It is started as a process of its own, with a plan as JSON in its argument,
-and prints a JSON object. It imports neither gevent nor the packages of the
-daemon, so that its own work stays small beside what it measures.
+It runs as a separate process that gets its plan as a JSON argument and
+prints its results as JSON. It imports neither gevent nor the packages of the
+daemon, so that its own processor time is small relative to what it measures.
 """
 
 import gc
@@ -19,7 +19,7 @@
 
 
 class _Caller:
-    """One caller that alternates between its targets."""
+    """One caller that alternates between targets, one of each kind."""
 
     def __init__(self, *, number, plan):
         self._number = number
@@ -47,13 +47,18 @@
         sock.sendall(data)
 
     def receive(self, sock):
-        """Receive; return whether the response is whole."""
+        """Receive a response and record its latency; return True.
+
+        Raises:
+          ConnectionError: the response is incomplete.
+        """
         data = sock.recv(_RECEIVE_BYTES)
         elapsed = time.perf_counter() - self.started
-        # Responses are smaller than one segment on the loopback interface.
+        # A response fits into one segment on the loopback interface, so that
+        # one call receives all of it.
         head, separator, body = data.partition(b"\r\n\r\n")
         if not separator or not body:
-            raise ConnectionError("response cut short")
+            raise ConnectionError("incomplete response")
         if not head.startswith(b"HTTP/1.1 200"):
             self.failures += 1
         self.latencies[self._count % len(self._sockets)].append(elapsed)
@@ -67,11 +72,12 @@
     Args:
       plan: dict with ``targets`` (a list of lists of (host, port), one list
         for each kind of target), ``request`` (text), ``callers``,
-        ``think_s`` (mean pause of a caller, 0 for none), ``duration_s`` and
-        ``seed``.
+        ``think_s`` (mean think time of a caller, 0 for none), ``duration_s``
+        and ``seed``.
     Returns:
-      Dict with ``latencies`` (seconds, a list for each kind of target, the
-      same position is the same pair), ``failures`` and ``elapsed_s``.
+      Dict with ``latencies`` (seconds, a list for each kind of target; equal
+      positions belong to consecutive requests of one caller), ``failures``
+      (responses without status 200) and ``elapsed_s``.
     """
     callers = [
         _Caller(number=number, plan=plan) for number in range(plan["callers"])
@@ -81,7 +87,7 @@
         for sock in caller.sockets:
             selector.register(sock, selectors.EVENT_READ, caller)
     gc.disable()
-    elapsed = _loop(plan, callers, selector)
+    elapsed = _run_callers(plan, callers, selector)
     latencies = [[] for _ in plan["targets"]]
     for caller in callers:
         pairs = min(len(values) for values in caller.latencies)
@@ -94,24 +100,24 @@
     }
 
 
-def _loop(plan, callers, selector):
+def _run_callers(plan, callers, selector):
     rng = random.Random(plan["seed"])
     rate = 1 / plan["think_s"] if plan["think_s"] else 0.0
 
-    def pause():
+    def draw_think_time():
         return rng.expovariate(rate) if rate else 0.0
 
     started = now = time.perf_counter()
-    ends = started + plan["duration_s"]
-    due = [(now + pause(), number) for number in range(len(callers))]
+    deadline = started + plan["duration_s"]
+    due = [(now + draw_think_time(), number) for number in range(len(callers))]
     heapq.heapify(due)
-    while now < ends:
+    while now < deadline:
         while due and due[0][0] <= now:
             callers[heapq.heappop(due)[1]].send()
         wait = min(_IDLE_WAIT_S, max(0.0, due[0][0] - now)) if due else None
         for key, _ in selector.select(_IDLE_WAIT_S if wait is None else wait):
             if key.data.receive(key.fileobj):
-                at = time.perf_counter() + pause()
+                at = time.perf_counter() + draw_think_time()
                 heapq.heappush(due, (at, callers.index(key.data)))
         now = time.perf_counter()
     return now - started
--- a/wigeonrouter/bench/_latency.py
+++ b/wigeonrouter/bench/_latency.py
@@ -1,4 +1,4 @@
-"""Measures the time that the daemon adds to a call, and its throughput."""
+"""Measures the latency that the daemon adds and its throughput."""
 
 import json
 import os
@@ -14,13 +14,13 @@
 from wigeonrouter.bench import _processes
 from wigeonrouter.bench import _result_lines
 
-# Bound on the time added to a call for 99 in 100 calls.
+# Required upper bound on the 99th percentile of the added latency.
 ADDED_P99_BOUND_MS = 0.42
-# Callers and the mean pause of each in seconds. The load stays far below
-# saturation, where queueing and not the daemon's own work would be measured.
-_LEVELS = ((1, 0.004), (8, 0.020), (32, 0.080))
+# Number of callers and mean think time of each in seconds. The load stays far
+# below saturation, where queueing delay would dominate the daemon's own work.
+_LOAD_LEVELS = ((1, 0.004), (8, 0.020), (32, 0.080))
 _SATURATING_CALLERS = 32
-_BACKENDS = 16
+_BACKEND_COUNT = 16
 _REQUEST = (
     "POST /echo HTTP/1.1\r\nHost: bench\r\nX-Request-Id: {id}\r\n"
     "X-Tenant: bench\r\nX-Request-Timeout-Ms: 2000\r\n"
@@ -34,20 +34,25 @@
 @click.option("--seconds", default=10.0, show_default=True, help="per level")
 @click.option("--seed", default=1, show_default=True)
 def latency(port, seconds, seed):
-    """Compare direct calls with calls through the daemon, interleaved."""
-    backends = [f"127.0.0.1:{port + 100 + n}" for n in range(_BACKENDS)]
+    """Compare direct requests with requests through the daemon.
+
+    Each caller alternates between the two.
+    """
+    backends = [f"127.0.0.1:{port + 100 + n}" for n in range(_BACKEND_COUNT)]
     with _processes.Fleet() as fleet:
-        _start(fleet, port, backends)
+        _start_processes(fleet, port, backends)
         daemon = [f"127.0.0.1:{port}"]
-        _generate(daemon, backends, 8, 0.01, 2.0, seed)
-        for callers, think in _LEVELS:
-            result = _generate(daemon, backends, callers, think, seconds, seed)
+        _run_generator(daemon, backends, 8, 0.01, 2.0, seed)
+        for callers, think_time in _LOAD_LEVELS:
+            result = _run_generator(
+                daemon, backends, callers, think_time, seconds, seed
+            )
             _report_level(callers, result)
         pid = fleet.pid("bench-1")
         _report_throughput(pid, daemon, seconds / 2, seed)
 
 
-def _start(fleet, port, backends):
+def _start_processes(fleet, port, backends):
     store = f"127.0.0.1:{port + 10}"
     fleet.start_store(store)
     half = len(backends) // 2
@@ -92,19 +97,22 @@
     }
 
 
-def _generate(daemon, backends, callers, think, seconds, seed):
-    """Run the generator; backends may be empty for the daemon alone."""
-    targets = [[_pair(address) for address in daemon]]
+def _run_generator(daemon, backends, callers, think_time, seconds, seed):
+    """Run the load generator; return its results as a dict.
+
+    Without backends, all requests go through the daemon.
+    """
+    targets = [[_host_and_port(address) for address in daemon]]
     if backends:
-        targets.append([_pair(address) for address in backends])
+        targets.append([_host_and_port(address) for address in backends])
     plan = {
         "targets": targets,
         "request": _REQUEST,
         "callers": callers,
-        "think_s": think,
+        "think_s": think_time,
         "duration_s": seconds,
-        # A request id must not repeat from one run to the next.
-        "seed": f"{seed}-{callers}-{think}-{seconds}",
+        # Request ids must be unique across runs.
+        "seed": f"{seed}-{callers}-{think_time}-{seconds}",
     }
     done = subprocess.run(
         [
@@ -121,51 +129,57 @@
     return json.loads(done.stdout)
 
 
-def _pair(address):
+def _host_and_port(address):
     parsed = core.parse_address(address)
     return parsed.host, parsed.port
 
 
 def _report_level(callers, result):
-    through, direct = (sorted(values) for values in result["latencies"])
+    through_daemon, direct = (sorted(values) for values in result["latencies"])
     paired = sorted(a - b for a, b in zip(*result["latencies"], strict=True))
     name = f"{callers} callers"
-    _line(f"{name}: pairs", len(paired), "1")
-    _line(f"{name}: failures", result["failures"], "1", 0)
-    _line(f"{name}: direct p50", _quantile_ms(direct, 50), "ms")
-    _line(f"{name}: direct p99", _quantile_ms(direct, 99), "ms")
+    _print_result(f"{name}: pairs", len(paired), "1")
+    _print_result(f"{name}: failures", result["failures"], "1", 0)
+    _print_result(f"{name}: direct p50", _percentile_ms(direct, 50), "ms")
+    _print_result(f"{name}: direct p99", _percentile_ms(direct, 99), "ms")
     for percent, bound in ((50, None), (99, ADDED_P99_BOUND_MS)):
-        added = _quantile_ms(through, percent) - _quantile_ms(direct, percent)
-        _line(f"{name}: added p{percent}", added, "ms", bound)
-    _line(
+        added = _percentile_ms(through_daemon, percent) - _percentile_ms(
+            direct, percent
+        )
+        _print_result(f"{name}: added p{percent}", added, "ms", bound)
+    _print_result(
         f"{name}: paired difference p99",
-        _quantile_ms(paired, 99),
+        _percentile_ms(paired, 99),
         "ms",
         ADDED_P99_BOUND_MS,
     )
 
 
 def _report_throughput(pid, daemon, seconds, seed):
-    before = _processor_seconds(pid)
-    result = _generate(daemon, (), _SATURATING_CALLERS, 0.0, seconds, seed)
-    used = _processor_seconds(pid) - before
+    before = _cpu_seconds(pid)
+    result = _run_generator(
+        daemon, (), _SATURATING_CALLERS, 0.0, seconds, seed
+    )
+    cpu_seconds = _cpu_seconds(pid) - before
     count = len(result["latencies"][0])
-    _line("saturated: failures", result["failures"], "1", 0)
-    _line("saturated: throughput", count / result["elapsed_s"], "1/s")
-    _line("per core: throughput", count / used, "1/s")
-    _line("per request: processor time", used / count * 1e6, "us")
+    _print_result("saturated: failures", result["failures"], "1", 0)
+    _print_result("saturated: throughput", count / result["elapsed_s"], "1/s")
+    _print_result("per core: throughput", count / cpu_seconds, "1/s")
+    _print_result(
+        "per request: processor time", cpu_seconds / count * 1e6, "us"
+    )
 
 
-def _line(name, value, unit, bound=None):
+def _print_result(name, value, unit, bound=None):
     _result_lines.write_line(name=name, value=value, unit=unit, bound=bound)
 
 
-def _quantile_ms(ordered, percent):
+def _percentile_ms(ordered, percent):
     index = min(len(ordered) - 1, int(len(ordered) * percent / 100))
     return ordered[index] * 1000
 
 
-def _processor_seconds(pid):
+def _cpu_seconds(pid):
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2]
     user, system = fields.split()[11:13]
     return (int(user) + int(system)) / os.sysconf("SC_CLK_TCK")
--- a/wigeonrouter/bench/_node_parts.py
+++ b/wigeonrouter/bench/_node_parts.py
@@ -1,4 +1,4 @@
-"""What a node on the users' machines costs, by routes, servers and peers.
+"""Measures resource use of a node by number of routes, servers and peers.
 
 Every function takes one size and returns a dict of numbers.
 """
@@ -20,31 +20,33 @@
 from wigeonrouter.schema import node_pb2
 
 _ROUTES_PER_SERVICE = 2
-_DOMAINS = {f"domain-{number}": f"region-{number % 8}" for number in range(30)}
+_REGION_BY_FAILURE_DOMAIN = {
+    f"domain-{number}": f"region-{number % 8}" for number in range(30)
+}
 
 
-class _Quiet:
-    """Takes events and drops them."""
+class _DiscardedEvents:
+    """Event sink that discards all events."""
 
     def event(self, name, /, **fields):
-        """Drop an event."""
+        """Discard an event."""
 
     def notice(self, name, /, **fields):
-        """Drop an event."""
+        """Discard an event."""
 
 
 def measure_configuration(services):
-    """Measure one version of a configuration with a number of services."""
+    """Measure how a node applies the configuration of some services."""
     value = json.dumps(
-        testing.render_configuration(_configuration(services))
+        testing.render_configuration(_make_configuration(services))
     ).encode()
     item = store.Item(
         key=testing.CONFIGURATION_KEY, value=value, version=services
     )
     update = _store_cache.encode_update(items=[item], revision=services)
-    feed = testing.make_feed(_DOMAINS)
+    feed = testing.make_feed(_REGION_BY_FAILURE_DOMAIN)
     cluster_state = _cluster_state.ClusterState(
-        events=_Quiet(), on_change=lambda: None
+        events=_DiscardedEvents(), on_change=lambda: None
     )
 
     def apply_version():
@@ -52,26 +54,28 @@
         cluster_state.apply(feed.decode(items, complete=False))
 
     before = _measuring.resident_bytes()
-    first = _measuring.cpu_seconds(apply_version)
+    apply_cpu_s = _measuring.cpu_seconds(apply_version)
     return {
         "routes": services * _ROUTES_PER_SERVICE,
         "document_bytes": len(value),
         "update_bytes": update.ByteSize(),
-        "take_cpu_s": first,
+        "take_cpu_s": apply_cpu_s,
         "resident_bytes": _measuring.resident_bytes() - before,
     }
 
 
 def measure_servers(servers):
-    """Measure a node's copy of the registrations of backend servers."""
+    """Measure how a node loads the registrations of some servers."""
     items = [_registration_item(number) for number in range(servers)]
     update = _store_cache.encode_update(
         items=items, revision=servers, complete=True
     )
-    one = _store_cache.encode_update(items=items[:1], revision=servers + 1)
-    feed = testing.make_feed(_DOMAINS)
+    single_update = _store_cache.encode_update(
+        items=items[:1], revision=servers + 1
+    )
+    feed = testing.make_feed(_REGION_BY_FAILURE_DOMAIN)
     cluster_state = _cluster_state.ClusterState(
-        events=_Quiet(), on_change=lambda: None
+        events=_DiscardedEvents(), on_change=lambda: None
     )
     store_cache = _store_cache.StoreCache(
         apply=lambda items, revision, complete: cluster_state.apply(
@@ -82,36 +86,38 @@
     load = _measuring.cpu_seconds(lambda: store_cache.apply_update(update))
     return {
         "update_bytes": update.ByteSize(),
-        "one_change_bytes": one.ByteSize(),
+        "one_change_bytes": single_update.ByteSize(),
         "load_cpu_s": load,
         "resident_bytes": _measuring.resident_bytes() - before,
     }
 
 
 def measure_choice(servers):
-    """Measure a choice among the near servers of one service."""
+    """Measure one selection among servers of a service in the own region."""
     rng = random.Random(1)
-    views = [_view(number, rng) for number in range(servers)]
-    job = placement.PendingRequest(
+    server_views = [
+        _make_server_view(number, rng) for number in range(servers)
+    ]
+    pending_request = placement.PendingRequest(
         priority=1, idempotent=True, arrived=0.0, target_time=0.4, deadline=2.0
     )
 
     def choose():
         options = {
-            "request": job,
+            "request": pending_request,
             "service_time": 0.16,
             "mean_slowdown": 1.75,
             "now": 0.0,
         }
-        placement.probe_candidates(views, max_servers=4, **options)
-        placement.choose(views, utilization=0.5, **options)
+        placement.probe_candidates(server_views, max_servers=4, **options)
+        placement.choose(server_views, utilization=0.5, **options)
 
     return {"cpu_s": _measuring.cpu_seconds_each(choose)}
 
 
 def measure_roster(nodes):
-    """Measure what a hub does for a number of followers."""
-    states = [_state(number) for number in range(nodes)]
+    """Measure the roster that a hub sends to some followers."""
+    states = [_make_node_state(number) for number in range(nodes)]
     hub = _hub.Hub(
         store_cache=None,
         own_state=lambda: states[0],
@@ -129,12 +135,12 @@
     }
 
 
-def _configuration(services):
+def _make_configuration(services):
     names = [f"service-{number}" for number in range(services)]
     return topology.Configuration(
         version=services,
         routes=tuple(
-            _route(name, number)
+            _make_route(name, number)
             for name in names
             for number in range(_ROUTES_PER_SERVICE)
         ),
@@ -148,7 +154,7 @@
     )
 
 
-def _route(service, number):
+def _make_route(service, number):
     return topology.Route(
         name=f"route-{service}-{number}",
         host=f"{service}.example",
@@ -188,7 +194,7 @@
     )
 
 
-def _view(number, rng):
+def _make_server_view(number, rng):
     return placement.ServerView(
         instance=f"i-{number}",
         locality=placement.Locality.REGION,
@@ -204,7 +210,7 @@
     )
 
 
-def _state(number):
+def _make_node_state(number):
     return node_pb2.NodeState(
         host=f"10.1.{number >> 8}.{number & 255}",
         caller_address=f"10.1.{number >> 8}.{number & 255}:8548",
--- a/wigeonrouter/bench/_policy_load.py
+++ b/wigeonrouter/bench/_policy_load.py
@@ -198,8 +198,10 @@
 
 
 def _draw_region_requests(rng, region, capacity, shape):
+    """Draw the requests of a region's callers; capacity is in requests/s."""
     names = [name for name, _ in shape.tenants]
     shares = [share for _, share in shape.tenants]
+    # Keeps the mean rate: bursts take a tenth of the time.
     base_factor = (1 - 0.1 * shape.burst_factor) / 0.9
     time, bursting, rows = 0.0, False, []
     while time < shape.duration:
@@ -208,8 +210,8 @@
         )
         end = min(shape.duration, time + length)
         factor = shape.burst_factor if bursting else base_factor
-        for moment, load in _split_by_load(time, end, shape):
-            start, stop = moment
+        for interval, load in _split_by_load(time, end, shape):
+            start, stop = interval
             rate = load * capacity * factor
             for arrival in _poisson_times(rng, rate, start, stop):
                 tenant = rng.choices(names, shares)[0]
@@ -219,19 +221,21 @@
 
 
 def _split_by_load(start, end, shape):
+    """Return ((start, end), load factor) of the parts of an interval."""
     if shape.load_step is None:
         return [((start, end), shape.load)]
-    first, last, load = shape.load_step
+    step_start, step_end, load = shape.load_step
     boundaries = sorted(
-        {start, end, *(c for c in (first, last) if start < c < end)}
+        {start, end, *(c for c in (step_start, step_end) if start < c < end)}
     )
     return [
-        ((low, high), load if first <= low < last else shape.load)
+        ((low, high), load if step_start <= low < step_end else shape.load)
         for low, high in zip(boundaries, boundaries[1:], strict=False)
     ]
 
 
 def _poisson_times(rng, rate, start, end):
+    """Yield the arrival times of a Poisson process in an interval."""
     time = start
     while rate > 0:
         time += rng.expovariate(rate)
@@ -241,6 +245,7 @@
 
 
 def _draw_request(rng, time, region, tenant, shape):
+    # With this mu, the mean of the log-normal factor is 1.
     mu = -(_SERVICE_SIGMA**2) / 2
     return {
         "time": time,
--- a/wigeonrouter/bench/_policy_main.py
+++ b/wigeonrouter/bench/_policy_main.py
@@ -17,7 +17,7 @@
 from wigeonrouter.bench import _policy_run
 from wigeonrouter.bench import _policy_scenarios
 
-_LOADS = (0.5, 0.7, 0.85, 0.95, 1.0, 1.2, 2.0)
+_LOAD_FACTORS = (0.5, 0.7, 0.85, 0.95, 1.0, 1.2, 2.0)
 _SEEDS = (11, 12, 13)
 
 
@@ -96,7 +96,7 @@
 ):
     """Compare selection policies in a discrete-event simulation."""
     rows, cells = [], []
-    for load in loads or _LOADS:
+    for load in loads or _LOAD_FACTORS:
         shape = _policy_load.LoadShape(
             load=load, duration=seconds, burst_factor=burst
         )
--- a/wigeonrouter/bench/_policy_server.py
+++ b/wigeonrouter/bench/_policy_server.py
@@ -6,7 +6,8 @@
 
 # Requests that the server queues before it rejects further ones.
 MAX_QUEUE_LENGTH = 16
-_FAILURE_TIME_S = 0.0005
+# Time until a failing server responds.
+_FAILURE_RESPONSE_TIME_S = 0.0005
 
 
 class Attempt:
@@ -61,7 +62,7 @@
         self.fixed_in_flight = None
         self.report_loss = 0.0
         self.busy_seconds = 0.0
-        self._free = list(range(server.slots))
+        self._free_slots = list(range(server.slots))
         self._queue = collections.deque()
         self._in_flight = 0
 
@@ -69,7 +70,10 @@
         """Start, queue or reject an attempt that has arrived."""
         if self.failing:
             self._loop.call_later(
-                _FAILURE_TIME_S, self._respond, attempt, core.Outcome.FAILED
+                _FAILURE_RESPONSE_TIME_S,
+                self._respond,
+                attempt,
+                core.Outcome.FAILED,
             )
             return
         if self.rejecting or len(self._queue) >= MAX_QUEUE_LENGTH:
@@ -77,7 +81,7 @@
             return
         self._in_flight += 1
         self._queue.append(attempt)
-        self._start_next()
+        self._start_queued()
 
     def cancel(self, attempt):
         """Drop an attempt whose daemon has closed the connection."""
@@ -87,11 +91,11 @@
         if attempt.slot is not None or attempt in self._queue:
             self._in_flight -= 1
         if attempt.slot is not None:
-            self._free.append(attempt.slot)
-            self._start_next()
+            self._free_slots.append(attempt.slot)
+            self._start_queued()
 
-    def _start_next(self):
-        while self._free and self._queue:
+    def _start_queued(self):
+        while self._free_slots and self._queue:
             attempt = self._queue.popleft()
             if attempt.ended:
                 continue
@@ -99,18 +103,18 @@
                 attempt.ended = True
                 self._in_flight -= 1
                 continue
-            attempt.slot = self._free.pop()
+            attempt.slot = self._free_slots.pop()
             time = attempt.service_time * self.slowdown[attempt.slot]
             self._loop.call_later(time, self._finish, attempt, time)
 
     def _finish(self, attempt, time):
         if attempt.ended:
             return
-        self._free.append(attempt.slot)
+        self._free_slots.append(attempt.slot)
         self._in_flight -= 1
         self.busy_seconds += time
         self._respond(attempt, core.Outcome.OK)
-        self._start_next()
+        self._start_queued()
 
     def _respond(self, attempt, outcome):
         if attempt.ended:
