--- a/wigeonrouter/configuration/_retained.py
+++ b/wigeonrouter/configuration/_retained.py
@@ -27,6 +27,11 @@
     Change ids are kept for longer than their entries and are part of
     snapshots, because an operator may repeat a change id after its entry was
     discarded.
+
+    Args:
+      max_entries: largest number of entries, and of change ids.
+      max_bytes: largest size of the entries with their undo changes; the
+        newest entry is kept even if it is larger.
     """
 
     def __init__(
--- a/wigeonrouter/http1/_messages.py
+++ b/wigeonrouter/http1/_messages.py
@@ -53,7 +53,12 @@
 
 
 class MalformedMessage(Exception):
-    """The peer sent a malformed, ambiguous, too large or truncated message."""
+    """The peer sent a malformed, ambiguous, too large or truncated message.
+
+    Args:
+      problem: core.ProblemType to report.
+      detail: explanation; the title of the problem type if empty.
+    """
 
     def __init__(self, problem, detail=""):
         super().__init__(detail or problem.title)
--- a/wigeonrouter/http1/_pool.py
+++ b/wigeonrouter/http1/_pool.py
@@ -23,7 +23,12 @@
 
 
 class Connection:
-    """One connection to a backend server."""
+    """One connection to a backend server.
+
+    Args:
+      sock: TaskSocket.
+      now: seconds on the monotonic clock.
+    """
 
     def __init__(self, *, sock, now):
         self._sock = sock
@@ -125,7 +130,13 @@
 
 
 class ConnectionPool:
-    """Owns the connections of one process to all backend servers."""
+    """Owns the connections of one process to all backend servers.
+
+    Args:
+      clock: monotonic clock, seconds.
+      max_idle: longest time since the last use after which a connection is
+        reused, seconds.
+    """
 
     def __init__(self, *, clock=time.monotonic, max_idle=MAX_IDLE_S):
         self._clock = clock
--- a/wigeonrouter/membership/_client.py
+++ b/wigeonrouter/membership/_client.py
@@ -10,7 +10,12 @@
 
 
 class PeerClient:
-    """Client of the peer service; owns the channels of one daemon."""
+    """Client of the peer service; owns the channels of one daemon.
+
+    Args:
+      daemon_id: id of this daemon, sent with each call.
+      tls: PeerTls, or None for unencrypted connections.
+    """
 
     def __init__(self, *, daemon_id, tls=None):
         self._channels = _transport.PeerChannels(tls=tls)
--- a/wigeonrouter/membership/_dissemination.py
+++ b/wigeonrouter/membership/_dissemination.py
@@ -24,7 +24,14 @@
 
 
 class ConfigDissemination:
-    """Pushes new entries to peers and fetches missing ones from them."""
+    """Pushes new entries to peers and fetches missing ones from them.
+
+    Args:
+      table: MemberTable.
+      schedule: Schedule that selects the peers of a push.
+      client: PeerClient.
+      replica: configuration.Replica.
+    """
 
     def __init__(self, *, table, schedule, client, replica):
         self._table = table
--- a/wigeonrouter/membership/_exchanges.py
+++ b/wigeonrouter/membership/_exchanges.py
@@ -8,7 +8,20 @@
 
 
 class Exchanges:
-    """Builds the gossip messages of one daemon and applies received ones."""
+    """Builds the gossip messages of one daemon and applies received ones.
+
+    Args:
+      table: MemberTable.
+      facts: FactTable.
+      client: PeerClient.
+      dissemination: ConfigDissemination.
+      replica: configuration.Replica.
+      rng: random.Random.
+      clock: monotonic clock, seconds.
+      wall_clock: Unix time, seconds.
+      on_change: function that is called after an urgent change, to trigger an
+        eager exchange.
+    """
 
     def __init__(
         self,
--- a/wigeonrouter/membership/_facts.py
+++ b/wigeonrouter/membership/_facts.py
@@ -104,6 +104,9 @@
     def merge(self, facts, *, now_ms):
         """Apply the facts that are newer than the known ones.
 
+        Args:
+          facts: iterable of ServerFact; expired ones are skipped.
+          now_ms: milliseconds since the epoch.
         Returns:
           The list of the applied facts.
         """
@@ -121,6 +124,8 @@
     def expire(self, *, now_ms):
         """Remove expired facts, and the oldest beyond MAX_FACTS.
 
+        Args:
+          now_ms: milliseconds since the epoch.
         Returns:
           The list of the removed facts.
         """
--- a/wigeonrouter/membership/_table.py
+++ b/wigeonrouter/membership/_table.py
@@ -31,7 +31,11 @@
 
 
 class MemberTable:
-    """Records of all known daemons, including this one."""
+    """Records of all known daemons, including this one.
+
+    Args:
+      own: core.Member, the record of this daemon.
+    """
 
     def __init__(self, *, own):
         self._own = own
--- a/wigeonrouter/membership/_tls.py
+++ b/wigeonrouter/membership/_tls.py
@@ -15,7 +15,15 @@
 
 
 class PeerTls:
-    """The current certificates; new connections use the newest ones."""
+    """The current certificates; new connections use the newest ones.
+
+    Args:
+      authority_files: paths of the PEM files of the trusted authorities.
+      certificate_file: path of the PEM file of the certificate.
+      key_file: path of the PEM file of its key.
+    Raises:
+      OSError: see load().
+    """
 
     def __init__(self, *, authority_files, certificate_file, key_file):
         self._server_configuration = None
--- a/wigeonrouter/membership/_transport.py
+++ b/wigeonrouter/membership/_transport.py
@@ -102,7 +102,12 @@
 
 
 class PeerChannels:
-    """Cache of the channels to the most recently used peer addresses."""
+    """Cache of the channels to the most recently used peer addresses.
+
+    Args:
+      tls: PeerTls, or None for unencrypted connections.
+      limit: largest number of channels.
+    """
 
     def __init__(self, *, tls=None, limit=MAX_CHANNELS):
         self._tls = tls
--- a/wigeonrouter/store/_interface.py
+++ b/wigeonrouter/store/_interface.py
@@ -143,6 +143,10 @@
 def open_store(*, name, address, timeout):
     """Return a Store made by the named adapter.
 
+    Args:
+      name: name of the adapter.
+      address: core.Address of the store.
+      timeout: seconds for connecting and for each reply.
     Raises:
       KeyError: no adapter is registered under the name.
     """
--- a/wigeonrouter/store/_tcp.py
+++ b/wigeonrouter/store/_tcp.py
@@ -21,7 +21,12 @@
 
 @_interface.adapter("tcp")
 class TcpStore:
-    """Implements _interface.Store."""
+    """Implements _interface.Store.
+
+    Args:
+      address: core.Address of the store.
+      timeout: seconds for connecting and for each reply but that of a watch.
+    """
 
     def __init__(self, *, address, timeout):
         self._address = address
