--- a/wigeonrouter/configuration/_retained.py
+++ b/wigeonrouter/configuration/_retained.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Retained:
+class _RetainedEntry:
     """An entry, the changes that undo it, and the size of both in bytes."""
 
     entry: settings_pb2.LogEntry
@@ -27,6 +27,11 @@
     Change ids are kept for longer than their entries and are part of
     snapshots, because an operator may repeat a change id after its entry was
     discarded.
+
+    Args:
+      max_entries: largest number of entries, and of change ids.
+      max_bytes: largest size of the entries with their undo changes; the
+        newest entry is kept even if it is larger.
     """
 
     def __init__(
@@ -61,7 +66,7 @@
         byte_count = entry.ByteSize() + sum(
             change.ByteSize() for change in undo
         )
-        self._entries[entry.revision] = _Retained(
+        self._entries[entry.revision] = _RetainedEntry(
             entry=entry, undo=tuple(undo), byte_count=byte_count
         )
         self._total_bytes += byte_count
@@ -117,7 +122,7 @@
         """Return a copy of the tree at an older revision.
 
         Args:
-          revision: the wanted revision.
+          revision: the revision to restore.
           root: settings_pb2.Node, the tree at the newest revision.
           newest: the newest revision.
         Returns:
--- a/wigeonrouter/http1/_pool.py
+++ b/wigeonrouter/http1/_pool.py
@@ -23,7 +23,12 @@
 
 
 class Connection:
-    """One connection to a backend server."""
+    """One connection to a backend server.
+
+    Args:
+      sock: TaskSocket.
+      now: seconds on the monotonic clock.
+    """
 
     def __init__(self, *, sock, now):
         self._sock = sock
@@ -84,13 +89,13 @@
 class _ServerPool:
     """Connection permits and idle connections of one backend server."""
 
-    __slots__ = ("idle", "in_use", "limit", "waiting")
+    __slots__ = ("idle", "in_use", "limit", "waiters")
 
     def __init__(self):
         self.idle = []
         self.in_use = 0
         self.limit = 0
-        self.waiting = collections.deque()
+        self.waiters = collections.deque()
 
     def acquire(self, limit, timeout):
         """Take a permit; return False after a timeout in seconds.
@@ -98,11 +103,11 @@
         Waiting tasks get permits in the order of their arrival.
         """
         self.limit = limit
-        if self.in_use < limit and not self.waiting:
+        if self.in_use < limit and not self.waiters:
             self.in_use += 1
             return True
         waiter = event.AsyncResult()
-        self.waiting.append(waiter)
+        self.waiters.append(waiter)
         try:
             waiter.get(timeout=timeout)
         except gevent.Timeout:
@@ -113,19 +118,25 @@
             raise
         finally:
             if not waiter.ready():
-                self.waiting.remove(waiter)
+                self.waiters.remove(waiter)
         return True
 
     def release(self):
         """Return a permit; the longest waiting task gets it, if any."""
         self.in_use -= 1
-        while self.waiting and self.in_use < self.limit:
+        while self.waiters and self.in_use < self.limit:
             self.in_use += 1
-            self.waiting.popleft().set()
+            self.waiters.popleft().set()
 
 
 class ConnectionPool:
-    """Owns the connections of one process to all backend servers."""
+    """Owns the connections of one process to all backend servers.
+
+    Args:
+      clock: monotonic clock, seconds.
+      max_idle: longest time since the last use after which a connection is
+        reused, seconds.
+    """
 
     def __init__(self, *, clock=time.monotonic, max_idle=MAX_IDLE_S):
         self._clock = clock
@@ -195,14 +206,14 @@
         """Close connections over the idle limit; drop empty server pools."""
         now = self._clock()
         for address, pool in list(self._pools.items()):
-            kept = []
+            usable = []
             for connection in pool.idle:
                 if now - connection.idle_since > self._max_idle:
                     connection.close()
                 else:
-                    kept.append(connection)
-            pool.idle = kept
-            if not (kept or pool.in_use or pool.waiting):
+                    usable.append(connection)
+            pool.idle = usable
+            if not (usable or pool.in_use or pool.waiters):
                 del self._pools[address]
 
     def _connect(self, address, now, deadline):
--- a/wigeonrouter/membership/_dissemination.py
+++ b/wigeonrouter/membership/_dissemination.py
@@ -24,7 +24,14 @@
 
 
 class ConfigDissemination:
-    """Pushes new entries to peers and fetches missing ones from them."""
+    """Pushes new entries to peers and fetches missing ones from them.
+
+    Args:
+      table: MemberTable.
+      schedule: Schedule that selects the peers of a push.
+      client: PeerClient.
+      replica: configuration.Replica.
+    """
 
     def __init__(self, *, table, schedule, client, replica):
         self._table = table
@@ -222,14 +229,14 @@
             peer.place.region != own.place.region,
         )
     )
-    first_of_domain, same_domain, seen_places = [], [], set()
+    first_of_domain, others_of_domain, seen_places = [], [], set()
     for peer in in_other_domains:
         if peer.place in seen_places:
-            same_domain.append(peer)
+            others_of_domain.append(peer)
         else:
             seen_places.add(peer.place)
             first_of_domain.append(peer)
-    ordered = first_of_domain + same_domain
+    ordered = first_of_domain + others_of_domain
     if len(ordered) < ACKNOWLEDGEMENTS:
         ordered += [peer for peer in peers if peer.place == own.place]
     return ordered
--- a/wigeonrouter/membership/_transport.py
+++ b/wigeonrouter/membership/_transport.py
@@ -102,7 +102,12 @@
 
 
 class PeerChannels:
-    """Cache of the channels to the most recently used peer addresses."""
+    """Cache of the channels to the most recently used peer addresses.
+
+    Args:
+      tls: PeerTls, or None for unencrypted connections.
+      limit: largest number of channels.
+    """
 
     def __init__(self, *, tls=None, limit=MAX_CHANNELS):
         self._tls = tls
@@ -136,9 +141,9 @@
 
     def keep_only(self, addresses):
         """Close the channels to all other addresses."""
-        kept = {str(address) for address in addresses}
+        keys_to_keep = {str(address) for address in addresses}
         for key in list(self._channels):
-            if key not in kept:
+            if key not in keys_to_keep:
                 self.discard(key)
 
     def discard(self, address):
