--- a/wigeonrouter/bench/_generator.py
+++ b/wigeonrouter/bench/_generator.py
@@ -91,8 +91,10 @@
     latencies = [[] for _ in plan["targets"]]
     for caller in callers:
         pairs = min(len(values) for values in caller.latencies)
-        for whole, values in zip(latencies, caller.latencies, strict=True):
-            whole.extend(values[:pairs])
+        for all_values, values in zip(
+            latencies, caller.latencies, strict=True
+        ):
+            all_values.extend(values[:pairs])
     return {
         "latencies": latencies,
         "failures": sum(caller.failures for caller in callers),
